--- a/test/gate_load.py
+++ b/test/gate_load.py
@@ -1,4 +1,4 @@
-"""Plays a load at one gate, without a network: who is served, who is refused."""
+"""Simulation of the load on one gate without a network."""
 
 import collections
 import heapq
@@ -18,7 +18,7 @@
         kind: Name of the kind.
         rate: Jobs a second.
         seconds: Mean service time.
-        wait: Seconds for which one may wait.
+        wait: Seconds for which a job may wait for a slot.
         via: Services passed so far.
     """
 
@@ -30,39 +30,44 @@
 
 
 class Share(NamedTuple):
-    """What came of the jobs of a kind: how many asked, the share served."""
+    """Result for the jobs of one kind.
 
-    asked: int
+    Attributes:
+        arrived: Number of jobs that arrived.
+        served: Share of them that was served.
+    """
+
+    arrived: int
     served: float
 
 
-def keep_pace(running):
-    """Return the factor on the time of a job that starts: always the same."""
+def keep_speed(running):
+    """Return the factor on the service time of a new job: always 1."""
     return 1.0
 
 
-def play(slots, flows, seconds, seed=1, slow_down=keep_pace):
-    """Play flows at a gate; return a `Share` by kind.
+def simulate(slots, flows, seconds, seed=1, slow_down=keep_speed):
+    """Simulate flows at a gate and return a `Share` by kind.
 
-    What the level told by the gate refuses doesn't arrive, as at an entry that has
-    just heard of it; calls from inside do.
+    Root requests below the level of the gate don't reach it, as if the entry daemon had
+    just received that level. Internal calls always do.
 
     Args:
         slots: Slots that the backend server announces.
         flows: `Flow` tuples.
-        seconds: How long they come.
-        seed: Seed of the draws.
-        slow_down: Function from the jobs inside to the factor by which one that
-            starts among them takes longer.
+        seconds: How long jobs arrive.
+        seed: Seed of the random draws.
+        slow_down: Function from the number of jobs in service to the factor by which a
+            job that starts among them takes longer.
     """
     draw = random.Random(seed)
     guard = gate.Gate(slots, 0.0, ())
-    events, numbers = [], itertools.count()
+    events, sequence = [], itertools.count()
     for flow in flows:
         at = 0.0
         while (at := at + draw.expovariate(flow.rate)) < seconds:
-            heapq.heappush(events, (at, next(numbers), ARRIVAL, flow))
-    asked, served, works = collections.Counter(), collections.Counter(), {}
+            heapq.heappush(events, (at, next(sequence), ARRIVAL, flow))
+    arrived, served, works = collections.Counter(), collections.Counter(), {}
     running = set()
 
     def admit(attempt, now):
@@ -70,7 +75,7 @@
         served[kind] += 1
         running.add(attempt)
         work *= slow_down(len(running))
-        heapq.heappush(events, (now + work, next(numbers), END, (attempt, work)))
+        heapq.heappush(events, (now + work, next(sequence), END, (attempt, work)))
 
     def settle(decisions, now):
         for decision in decisions:
@@ -78,27 +83,30 @@
                 admit(decision.attempt, now)
 
     while events:
-        now, number, what, about = heapq.heappop(events)
-        if what is END:
-            attempt, work = about
+        now, number, event_type, payload = heapq.heappop(events)
+        if event_type is END:
+            attempt, work = payload
             running.remove(attempt)
             settle(guard.finish(attempt, now, work, True), now)
-        elif what is EXPIRY:
+        elif event_type is EXPIRY:
             settle(guard.expire(now), now)
         else:
-            asked[about.kind] += 1
-            request = build_request(about, f"{about.kind}-{number}", now)
-            works[request.attempt] = about.kind, draw.uniform(0.5, 1.5) * about.seconds
-            level = guard.find_level(about.kind, now)
-            if not about.via and levels.refuse_below(request, level) is not None:
+            arrived[payload.kind] += 1
+            request = build_request(payload, f"{payload.kind}-{number}", now)
+            works[request.attempt] = (
+                payload.kind,
+                draw.uniform(0.5, 1.5) * payload.seconds,
+            )
+            level = guard.find_level(payload.kind, now)
+            if not payload.via and levels.refuse_below(request, level) is not None:
                 continue
-            guard.limit_wait(about.wait)
+            guard.limit_wait(payload.wait)
             decision = guard.offer(request, now)
             settle((decision,), now)
             if decision.verdict is gate.Verdict.WAIT:
-                event = (decision.expires, next(numbers), EXPIRY, None)
+                event = (decision.expires, next(sequence), EXPIRY, None)
                 heapq.heappush(events, event)
-    return {kind: Share(n, served[kind] / n) for kind, n in asked.items()}
+    return {kind: Share(count, served[kind] / count) for kind, count in arrived.items()}
 
 
 def build_request(flow, name, now):
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of the inferred demand, the levels and the limit."""
+"""Tests of the inferred demand and the admission levels."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 class FindLevelsTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=100)
     @given(st.lists(RATES, min_size=1, max_size=5), st.floats(0.0, 3000.0))
-    def test_admits_what_fits_and_no_more(self, rates, capacity):
+    def test_admits_as_much_demand_as_fits(self, rates, capacity):
         levels = admission.find_levels([(each, 1) for each in rates], capacity)
         admitted = 0.0
         for level, each in zip(levels, rates, strict=True):
@@ -23,14 +23,14 @@
         wanted = sum(map(sum, rates))
         self.assertAlmostEqual(admitted, min(wanted, capacity), places=3)
 
-    def test_important_is_cut_last(self):
+    def test_most_important_class_is_cut_last(self):
         (level,) = admission.find_levels([([100.0, 100.0, 0.0, 50.0], 1)], 100.0)
         self.assertAlmostEqual(level, 1.5)
 
     def test_hot_group_cannot_take_the_share_of_others(self):
-        """One caller of ten asks for twice the capacity.
+        """One of ten callers requests twice the capacity.
 
-        A common level would refuse half of what the nine others ask.
+        A common level would refuse half of the requests of the nine others.
         """
         others = [0.0, 45.0, 0.0, 0.0], 9
         hot = [0.0, 200.0, 0.0, 0.0], 1
@@ -40,19 +40,19 @@
 
 
 class DemandTest(unittest.TestCase):
-    def test_sees_the_whole_demand_through_a_level(self):
+    def test_infers_the_whole_demand_despite_a_level(self):
         rng = random.Random(3)
         demand = admission.Demand(0.0)
         now = 0.0
         for _ in range(20000):
             now += rng.expovariate(2000.0)
-            demand.note_level(1.8, now)
+            demand.record_level(1.8, now)
             rank = 1.0 + rng.random()
             if rank >= 1.8:
                 demand.record(rank, now)
         self.assertAlmostEqual(demand.rates(now)[1], 2000.0, delta=200.0)
 
-    def test_notices_a_surge_within_a_quarter_of_a_second(self):
+    def test_detects_a_surge_within_a_quarter_of_a_second(self):
         rng = random.Random(3)
         demand = admission.Demand(0.0)
         now = 0.0
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests of the gate of one backend server."""
+"""Tests of the admission gate of one backend server."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from . import gate_load
 
 
-def make_request(name, importance=messages.Importance.NORMAL, deadline=10.0, **more):
+def make_request(name, importance=messages.Importance.NORMAL, deadline=10.0, **options):
     return messages.Request(
         attempt=name,
         root=name,
@@ -17,16 +17,16 @@
         path="/list",
         importance=importance,
         deadline=deadline,
-        **more,
+        **options,
     )
 
 
-def fill(guard, count, now=0.0, **more):
-    return [guard.offer(make_request(f"fill{i}", **more), now) for i in range(count)]
+def fill(guard, count, now=0.0, **options):
+    return [guard.offer(make_request(f"fill{i}", **options), now) for i in range(count)]
 
 
 class GateTest(unittest.TestCase):
-    def test_admits_up_to_the_slots_then_lets_wait(self):
+    def test_admits_up_to_the_slots_then_queues(self):
         guard = gate.Gate(2)
         verdicts = [decision.verdict for decision in fill(guard, 3)]
         self.assertEqual(
@@ -35,11 +35,11 @@
         released = guard.finish("fill0", 0.1, 0.1, True)
         self.assertEqual(released, (gate.Decision("fill2", gate.Verdict.ADMIT),))
 
-    def test_nobody_waits_longer_than_the_operators_declare(self):
-        """A service declares that its callers wait at most 0.2 s for a slot.
+    def test_no_request_waits_longer_than_the_configured_limit(self):
+        """A service is configured to let callers wait at most 0.2 s for a slot.
 
-        Without the limit they would wait up to their deadlines, and be told
-        late what is already known.
+        Without the limit they would wait up to their deadlines and be refused late,
+        although the refusal was foreseeable.
         """
         guard = gate.Gate(1)
         guard.limit_wait(0.2)
@@ -50,17 +50,17 @@
         (decision,) = guard.expire(0.2)
         self.assertEqual(gate.Verdict.REFUSE, decision.verdict)
 
-    def test_important_gets_the_slot_that_comes_free(self):
+    def test_important_request_gets_the_freed_slot(self):
         guard = gate.Gate(1)
         fill(guard, 2)
         guard.offer(make_request("royalty", messages.Importance.CRITICAL), 0.0)
         (decision,) = guard.finish("fill0", 0.1, 0.1, True)
         self.assertEqual(decision.attempt, "royalty")
 
-    def test_what_can_still_be_in_time_goes_before_what_is_overdue(self):
-        """Some requests have missed their objective and wait on, under overload.
+    def test_request_still_in_time_is_served_before_an_overdue_one(self):
+        """Under overload some requests have missed their objective but still wait.
 
-        First in the line, they would make all others miss theirs too.
+        If they were served first, all other requests would miss theirs too.
         """
         guard = gate.Gate(1)
         fill(guard, 1)
@@ -70,10 +70,10 @@
         self.assertEqual("in-time", decision.attempt)
 
     def test_full_queue_drops_the_least_important(self):
-        """More requests come than may wait, the last of them a royalty payout.
+        """More requests arrive than may wait, the last of them a royalty payout.
 
-        Refused for coming last, the poet's payout would fail while readers who
-        browse are served.
+        If it were refused because it arrived last, the payout would fail while readers
+        who only browse are served.
         """
         guard = gate.Gate(1)
         decisions = fill(guard, 40)
@@ -86,11 +86,11 @@
         self.assertIs(dropped.verdict, gate.Verdict.REFUSE)
         self.assertGreater(dropped.retry_after, 0.0)
 
-    def test_refuses_at_once_what_cannot_meet_its_deadline(self):
-        """Work takes a second, and a caller gives up after a tenth of one.
+    def test_refuses_at_once_a_request_that_cannot_meet_its_deadline(self):
+        """A job takes a second, and a caller gives up after a tenth of a second.
 
-        Let in, the work would be done for nobody; refused only at the deadline,
-        the caller would have waited for a refusal.
+        If the request were admitted, its work would be wasted. If it were refused only
+        at the deadline, the caller would have waited for a refusal.
         """
         guard = gate.Gate(2)
         fill(guard, 2)
@@ -100,7 +100,7 @@
         self.assertIs(decision.verdict, gate.Verdict.REFUSE)
         self.assertIs(decision.reason, messages.Reason.DEADLINE)
 
-    def test_expiry_refuses_what_waited_too_long(self):
+    def test_expire_refuses_a_request_that_waited_too_long(self):
         guard = gate.Gate(1)
         fill(guard, 2, deadline=5.0)
         self.assertEqual(guard.next_expiry(), 5.0)
@@ -108,7 +108,7 @@
         self.assertIs(decision.verdict, gate.Verdict.REFUSE)
         self.assertIsNone(guard.next_expiry())
 
-    def test_withdrawn_leaves_no_trace(self):
+    def test_withdrawn_request_leaves_no_state(self):
         guard = gate.Gate(1)
         fill(guard, 2)
         self.assertEqual(guard.withdraw("fill1", 0.0), ())
@@ -117,42 +117,42 @@
         self.assertEqual((0, 0), (load.in_service, load.waiting))
         self.assertIsNone(guard.next_expiry())
 
-    def test_resize_admits_what_waits(self):
+    def test_resize_admits_waiting_requests(self):
         guard = gate.Gate(1)
         fill(guard, 3)
         released = guard.resize(3, 0.0)
         self.assertEqual([d.verdict for d in released], [gate.Verdict.ADMIT] * 2)
 
-    def test_long_jobs_get_the_slots_that_stand_idle(self):
-        """A service has jobs of 0.64 s beside many of 0.04 s, and nine tenths to do.
+    def test_long_jobs_get_idle_slots(self):
+        """Jobs of 0.64 s run among many of 0.04 s, at nine tenths of the capacity.
 
-        With slots kept free for the chance variation of the short ones, two of three
-        long jobs are refused while slots stand idle.
+        If slots were reserved for the random variation of the short jobs, two of three
+        long jobs would be refused while slots are idle.
         """
         short = gate_load.Flow("eta", 240.0, 0.04, 0.075, ("front",))
         long = gate_load.Flow("status", 10.0, 0.64, 1.0)
-        got = gate_load.play(18, (short, long), 30.0)
-        self.assertGreater(got["eta"].served, 0.99)
-        self.assertGreater(got["status"].served, 0.95)
+        shares = gate_load.simulate(18, (short, long), 30.0)
+        self.assertGreater(shares["eta"].served, 0.99)
+        self.assertGreater(shares["status"].served, 0.95)
 
-    def test_long_jobs_do_not_push_out_short_ones(self):
-        """More of both kinds comes than the slots can do.
+    def test_long_jobs_do_not_displace_short_ones(self):
+        """Jobs of both kinds arrive at a rate above the capacity of the slots.
 
-        Calls from inside are short here, and each one lost fails a whole request.
+        The short jobs are internal calls here, and each lost one fails a whole request.
         """
         short = gate_load.Flow("eta", 700.0, 0.04, 0.075, ("front",))
         long = gate_load.Flow("status", 30.0, 0.64, 1.0)
-        got = gate_load.play(42, (short, long), 30.0)
-        self.assertGreater(got["eta"].served, 0.99)
-        self.assertGreater(got["status"].served, 0.55)
+        shares = gate_load.simulate(42, (short, long), 30.0)
+        self.assertGreater(shares["eta"].served, 0.99)
+        self.assertGreater(shares["status"].served, 0.55)
 
-    def test_backend_server_that_slows_down_when_full_serves_what_it_can(self):
-        """Guards against keeping all slots full where that costs throughput."""
+    def test_backend_server_that_slows_down_when_full_keeps_its_best_throughput(self):
+        """Guards against keeping all slots full where that reduces throughput."""
         jobs = gate_load.Flow("queue", 1500.0, 0.022, 0.075, ("front",))
 
         def slow_down(running):
             return 1.3 if running > 25 else 1.0
 
-        got = gate_load.play(27, (jobs,), 20.0, slow_down=slow_down)
+        shares = gate_load.simulate(27, (jobs,), 20.0, slow_down=slow_down)
         best = 25 / 0.022 / 1500.0
-        self.assertGreater(got["queue"].served, 0.95 * best)
+        self.assertGreater(shares["queue"].served, 0.95 * best)
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -21,10 +21,11 @@
         self.assertEqual(served, ["b", "d", "a", "c"])
         self.assertIsNone(queue.take_next())
 
-    def test_what_is_due_first_goes_before_what_came_first(self):
-        """A request's last call meets first calls of others, under overload.
+    def test_earlier_due_time_is_served_before_earlier_arrival(self):
+        """Under overload, the last call of a request meets first calls of others.
 
-        Served behind them it comes too late, and all that was done for it is lost.
+        If it were served behind them it would be late, and all work done for the
+        request would be lost.
         """
         queue = waiting.Queue()
         normal = messages.Importance.NORMAL
@@ -40,7 +41,7 @@
         queue.add(make_waiter("a", messages.Importance.LOW, 1.0))
         queue.add(make_waiter("b", messages.Importance.LOW, 2.0))
         self.assertEqual(queue.next_expiry(), 1.0)
-        self.assertEqual([w.request.attempt for w in queue.take_expired(1.5)], ["a"])
+        self.assertEqual([w.request.attempt for w in queue.pop_expired(1.5)], ["a"])
         self.assertIsNotNone(queue.remove("b"))
         self.assertIsNone(queue.remove("b"))
         self.assertEqual(len(queue), 0)
@@ -48,7 +49,7 @@
     def test_flows_are_compared_by_margin(self):
         """A hot caller is cut to its highest tenth of ranks.
 
-        Compared by rank, those would push everyone else out of a full queue.
+        Compared by rank, these would displace all other callers from a full queue.
         """
         hot = waiting.measure_margin(1.91, 1.9)
         usual = waiting.measure_margin(1.5, 1.0)
--- a/whinwinch/fairness.py
+++ b/whinwinch/fairness.py
@@ -1,13 +1,14 @@
-"""Shares of callers and keys, and of long jobs among short ones.
+"""Fair shares of callers and keys, and of long jobs among short ones.
 
-Load patterns: one caller, or one key, asks many times its share; a few jobs
-take a hundred times as long as the rest. Without this a level that cuts all
-callers alike refuses most of what the others ask because of one of them, and
-long jobs, which leave their slots rarely, come to hold all of them.
+Load patterns: one caller, or one key, requests many times its share; a few jobs take a
+hundred times as long as the rest. If one level cut all callers alike, most requests of
+the other callers would be refused because of a single one, and long jobs, which rarely
+free their slots, would come to occupy all of them.
 
-Callers and keys are only told apart while they are uneven: a group of its own
-for each hot one, one group for the rest, and max-min shares among the groups
-(`admission.find_levels`), so a share that is unused goes to whoever asks.
+Callers and keys are only distinguished while their demand is uneven: each hot one forms
+a group of its own, all others share one group, and capacity is divided among the groups
+by max-min fairness (`admission.find_levels`), so an unused share goes to the groups
+that need it.
 """
 
 import collections
@@ -17,47 +18,49 @@
 from . import admission
 
 DIMENSIONS = ("caller", "path")
-FORGET_SECONDS = 2.0
-REGROUP_SECONDS = 0.1
-MOST_FLOWS = 256
-MOST_HOT = 16
-# A flow is hot from three times the mean of the quieter half: at twice, chance
-# alone makes one of a few dozen equal flows look hot.
+FLOW_DECAY_SECONDS = 2.0
+REGROUP_INTERVAL_SECONDS = 0.1
+MAX_FLOWS = 256
+MAX_HOT_FLOWS = 16
+# A flow is hot from three times the mean of the quieter half of all flows. At twice the
+# mean, chance alone makes one of a few dozen equal flows look hot.
 HOT_RATIO = 3.0
-# Below this share of the demand a flow of its own can't push others out.
-HOT_SHARE = 0.05
-# Jobs that take this many times the median are kept to their part of the slots.
+# Below this share of the demand a single flow can't displace others.
+MIN_HOT_SHARE = 0.05
+# Jobs that take this many times the median are limited to their part of the slots.
 LONG_RATIO = 8.0
-SURE_COUNT = 3
-MOST_KINDS = 256
-QUICK_FALL = 0.2
-QUICK_RISE = 0.02
+# Number of observed jobs of a kind from which that ratio applies; with fewer jobs,
+# twice the ratio does.
+MIN_LONG_COUNT = 3
+MAX_KINDS = 256
+QUICK_FALL_WEIGHT = 0.2
+QUICK_RISE_WEIGHT = 0.02
 
 
 class Flows:
-    """Rates of the flows along one dimension, such as the caller."""
+    """Decayed arrival counts of the flows along one dimension, such as the caller."""
 
     def __init__(self, now):
-        self._time = now
+        self._decayed_at = now
         self._counts = {}
 
     def __len__(self):
         return len(self._counts)
 
     def record(self, name, weight):
-        """Count an arrival that stands for `weight` arrivals."""
+        """Count an observed arrival that represents `weight` arrivals."""
         self._counts[name] = self._counts.get(name, 0.0) + weight
-        if len(self._counts) > MOST_FLOWS:
+        if len(self._counts) > MAX_FLOWS:
             self._prune()
 
-    def forget(self, now):
-        """Let older arrivals count less."""
-        kept = math.exp(-(now - self._time) / FORGET_SECONDS)
-        self._time = now
+    def decay(self, now):
+        """Decay the counts, so that older arrivals weigh less."""
+        retained = math.exp(-(now - self._decayed_at) / FLOW_DECAY_SECONDS)
+        self._decayed_at = now
         self._counts = {
-            name: count * kept
+            name: count * retained
             for name, count in self._counts.items()
-            if count * kept > 0.05
+            if count * retained > 0.05
         }
 
     def find_hot(self):
@@ -67,19 +70,19 @@
             return {}
         total = sum(counts)
         quieter = counts[: max(1, len(counts) // 2)]
-        usual = sum(quieter) / len(quieter)
-        least = max(HOT_RATIO * usual, HOT_SHARE * total)
+        quiet_mean = sum(quieter) / len(quieter)
+        threshold = max(HOT_RATIO * quiet_mean, MIN_HOT_SHARE * total)
         hot = [
             (count / total, name)
             for name, count in self._counts.items()
-            if count > least and name
+            if count > threshold and name
         ]
         hot.sort(reverse=True)
-        return {name: share for share, name in hot[:MOST_HOT]}
+        return {name: share for share, name in hot[:MAX_HOT_FLOWS]}
 
     def _prune(self):
-        kept = sorted(self._counts.items(), key=lambda item: item[1], reverse=True)
-        self._counts = dict(kept[: MOST_FLOWS // 2])
+        by_count = sorted(self._counts.items(), key=lambda item: item[1], reverse=True)
+        self._counts = dict(by_count[: MAX_FLOWS // 2])
 
 
 class Shares:
@@ -87,9 +90,9 @@
 
     Args:
         now: Time at the start, in seconds of the loop's clock.
-        dimensions: Along which flows are told apart: those of `DIMENSIONS` that
-            mean something. Where a path names a kind of request, shares by path
-            would put kinds of unequal importance side by side.
+        dimensions: Dimensions along which flows are distinguished: those of
+            `DIMENSIONS` that are meaningful. Where a path names a kind of request,
+            shares by path would treat kinds of unequal importance alike.
     """
 
     def __init__(self, now, dimensions=DIMENSIONS):
@@ -99,10 +102,16 @@
         self._hot = {}
         self._levels = {}
         self.rest_level = 0.0
-        self._regrouped = now
+        self._regrouped_at = now
 
     def record(self, request, rank, now):
-        """Count the arrival of a request."""
+        """Count the arrival of a request.
+
+        Args:
+            request: The `messages.Request`.
+            rank: Its rank, as returned by `messages.rank_request`.
+            now: Time of the loop's clock in seconds.
+        """
         demand = self._rest
         if self._hot:
             demand = self._hot.get(name_flow(request, self._dimension), demand)
@@ -110,7 +119,7 @@
         if weight > 0.0:
             for dimension, flows in self._flows.items():
                 flows.record(name_flow(request, dimension), weight)
-        if self._flows and now - self._regrouped > REGROUP_SECONDS:
+        if self._flows and now - self._regrouped_at > REGROUP_INTERVAL_SECONDS:
             self._regroup(now)
 
     def level(self, request):
@@ -121,16 +130,16 @@
         return self._levels.get(name, self.rest_level)
 
     def is_hot(self, request):
-        """Return whether the flow of a request has a share of its own."""
+        """Return whether the flow of a request is hot and has a group of its own."""
         return name_flow(request, self._dimension) in self._hot
 
-    def total(self, now):
-        """Return the whole demand in requests a second."""
+    def estimate_total(self, now):
+        """Return the total demand of all groups in requests a second."""
         demands = [self._rest, *self._hot.values()]
         return sum(sum(demand.rates(now)) for demand in demands)
 
     def shrink(self, factor):
-        """Scale down the demand inferred of the flows that a level cuts."""
+        """Scale the inferred demand of the groups that a level cuts by a factor."""
         if self.rest_level > 0.0:
             self._rest.shrink(factor)
         for name, demand in self._hot.items():
@@ -138,12 +147,13 @@
                 demand.shrink(factor)
 
     def update(self, capacity, corrections, now):
-        """Set the levels so that what they admit fits a capacity.
+        """Set the levels so that the admitted demand fits a capacity.
 
         Args:
             capacity: Requests a second that can be served.
-            corrections: What the queue adds to it or takes, by importance.
-            now: Time of the loop's clock.
+            corrections: Requests a second that the queue adds to the capacity
+                (negative: takes from it), by importance.
+            now: Time of the loop's clock in seconds.
         """
         names = list(self._hot)
         flows = self._flows.get(self._dimension, ())
@@ -152,47 +162,51 @@
         groups += [(self._hot[name].rates(now), 1) for name in names]
         levels = admission.find_levels(groups, capacity, corrections)
         self.rest_level = levels[0]
-        self._rest.note_level(levels[0], now)
+        self._rest.record_level(levels[0], now)
         self._levels = dict(zip(names, levels[1:], strict=True))
         for name in names:
-            self._hot[name].note_level(self._levels[name], now)
+            self._hot[name].record_level(self._levels[name], now)
 
     def _regroup(self, now):
-        self._regrouped = now
+        self._regrouped_at = now
         hot = {}
         for dimension, flows in self._flows.items():
-            flows.forget(now)
+            flows.decay(now)
             hot[dimension] = flows.find_hot()
-        # One dimension at a time: cutting the same excess along both would
-        # refuse more than the excess.
-        sums = {dimension: sum(shares.values()) for dimension, shares in hot.items()}
-        path, caller = (sums.get(dimension, 0.0) for dimension in ("path", "caller"))
+        # Only one dimension at a time: cutting the same excess along both would refuse
+        # more than the excess.
+        hot_shares = {
+            dimension: sum(shares.values()) for dimension, shares in hot.items()
+        }
+        path, caller = (
+            hot_shares.get(dimension, 0.0) for dimension in ("path", "caller")
+        )
         chosen = "path" if path > 1.2 * caller else "caller"
         if chosen != self._dimension:
-            self._keep(frozenset(), now)
+            self._merge_all_but(frozenset(), now)
             self._dimension = chosen
-        self._keep(frozenset(hot.get(chosen, ())), now)
+        self._merge_all_but(frozenset(hot.get(chosen, ())), now)
         for name, share in hot.get(chosen, {}).items():
             if name not in self._hot:
                 self._hot[name] = self._rest.split(share, now)
                 self._levels[name] = self.rest_level
 
-    def _keep(self, names, now):
-        """Put the hot flows that are no longer so back among the rest."""
+    def _merge_all_but(self, names, now):
+        """Merge the hot flows that aren't among `names` into the rest."""
         for name in list(self._hot):
             if name not in names:
                 self._rest.merge(self._hot.pop(name), now)
                 self._levels.pop(name, None)
 
 
-class Seen(NamedTuple):
-    """Service times seen of one kind of job, in seconds.
+class ServiceTimeStats(NamedTuple):
+    """Statistics of the service times of one kind of job, in seconds.
 
     Attributes:
-        mean: Mean of about the last twenty.
-        deviation: Mean deviation from it.
-        quick: What a quick job takes.
-        count: Jobs seen, at most 200.
+        mean: Mean of about the last twenty jobs.
+        deviation: Mean absolute deviation from it.
+        quick: Estimate for a quick job.
+        count: Jobs observed, at most 200.
     """
 
     mean: float
@@ -201,88 +215,88 @@
     count: float
 
     def add(self, seconds):
-        """Return what is seen with one more job."""
+        """Return the statistics updated with the service time of one more job."""
         count = min(self.count + 1.0, 200.0)
         weight = 1.0 / min(count, 20.0)
         deviation = self.deviation + weight * (
             abs(seconds - self.mean) - self.deviation
         )
         mean = self.mean + weight * (seconds - self.mean)
-        # Falls ten times faster than it rises. Jobs that waited for a deep
-        # service take long, until its queue is shorter; were they believed for
-        # long, requests would be refused for a wait that is over, and with none
-        # let in nothing would show that.
-        step = QUICK_FALL if seconds < self.quick else QUICK_RISE
+        # The estimate falls ten times faster than it rises. Jobs that waited for a slow
+        # downstream service take long until its queue is shorter. If such times counted
+        # for long, requests would be refused because of a wait that is over, and with
+        # none admitted no newer time would be observed.
+        step = QUICK_FALL_WEIGHT if seconds < self.quick else QUICK_RISE_WEIGHT
         quick = self.quick + step * (seconds - self.quick)
-        return Seen(mean, deviation, quick, count)
+        return ServiceTimeStats(mean, deviation, quick, count)
 
 
 class Durations:
     """Service times of each kind of job, and which kinds are long."""
 
     def __init__(self):
-        self._seen = collections.OrderedDict()
+        self._stats = collections.OrderedDict()
         self._started = {}
         self._median = None
         self._observed = 0
 
     @property
     def median(self):
-        """Service time in seconds of the median job, or None when unknown."""
+        """Service time of the median job in seconds, or None when unknown."""
         return self._median
 
     def start(self, kind, now):
-        """Note that a job of a kind not seen to its end has started."""
-        if kind not in self._seen and len(self._started) < MOST_KINDS:
+        """Record that a job has started, unless its kind has been observed."""
+        if kind not in self._stats and len(self._started) < MAX_KINDS:
             self._started.setdefault(kind, now)
 
     def end(self, kind):
-        """Note that a job of a kind has left, whether or not it counts.
+        """Record that a job of a kind has left, whether or not its time counts.
 
-        Otherwise a kind whose first job failed would be held for long ever
-        after.
+        Otherwise a kind whose first job failed would be treated as long for ever.
         """
         self._started.pop(kind, None)
 
     def observe(self, kind, seconds):
-        """Take the service time of one job."""
-        seen = self._seen.pop(kind, Seen(seconds, 0.0, seconds, 0.0))
-        self._seen[kind] = seen.add(seconds)
-        while len(self._seen) > MOST_KINDS:
-            self._seen.popitem(last=False)
+        """Record the service time in seconds of one job of a kind."""
+        stats = self._stats.pop(kind, ServiceTimeStats(seconds, 0.0, seconds, 0.0))
+        self._stats[kind] = stats.add(seconds)
+        while len(self._stats) > MAX_KINDS:
+            self._stats.popitem(last=False)
         self._observed += 1
         if self._observed < 50 or self._observed % 20 == 0:
             self._median = self._find_median()
 
-    def allow(self, kind):
-        """Return the seconds that most jobs of a kind take, 0 when unknown.
+    def estimate_upper(self, kind):
+        """Return the seconds within which most jobs of a kind end, 0 when unknown.
 
         Twice the mean deviation above the mean covers some nine jobs in ten.
         """
-        seen = self._seen.get(kind)
-        return seen.mean + 2.0 * seen.deviation if seen else 0.0
+        stats = self._stats.get(kind)
+        return stats.mean + 2.0 * stats.deviation if stats else 0.0
 
-    def hope(self, kind):
+    def estimate_lower(self, kind):
         """Return the seconds that a quick job of a kind takes, 0 when unknown."""
-        seen = self._seen.get(kind)
-        return seen.quick if seen else 0.0
+        stats = self._stats.get(kind)
+        return stats.quick if stats else 0.0
 
     def is_long(self, kind, now):
         """Return whether jobs of a kind take far longer than most."""
         if self._median is None:
             return False
-        seen = self._seen.get(kind)
-        if seen is not None:
-            # A single job may be long by chance; far longer, it isn't chance.
-            ratio = LONG_RATIO if seen.count >= SURE_COUNT else 2.0 * LONG_RATIO
-            return seen.mean > ratio * self._median
-        # The first long jobs show themselves by staying: waiting for one to
-        # end would let the ones that follow take every slot meanwhile.
+        stats = self._stats.get(kind)
+        if stats is not None:
+            # A single job may be long by chance, but hardly by twice the ratio.
+            ratio = LONG_RATIO if stats.count >= MIN_LONG_COUNT else 2.0 * LONG_RATIO
+            return stats.mean > ratio * self._median
+        # The first long jobs are recognised by how long they have been running. If the
+        # decision waited for one of them to end, the following ones would occupy every
+        # slot meanwhile.
         started = self._started.get(kind)
         return started is not None and now - started > LONG_RATIO * self._median
 
     def _find_median(self):
-        means = sorted((seen.mean, seen.count) for seen in self._seen.values())
+        means = sorted((stats.mean, stats.count) for stats in self._stats.values())
         half = sum(count for _, count in means) / 2.0
         for mean, count in means:
             half -= count
@@ -299,25 +313,25 @@
 
 
 def name_key(request):
-    """Return what a request asks for: its path without the query."""
+    """Return the key that a request addresses: its path without the query."""
     return request.path.partition("?")[0]
 
 
 def name_kind(request):
-    """Return the kind of job that a request is: its call, else its path."""
+    """Return the kind of job of a request: its call, or its key if it has none."""
     return request.call or name_key(request)
 
 
-def limit_long(limit, short_busy):
-    """Return how many slots long jobs may hold.
+def compute_long_limit(limit, short_slots):
+    """Return the maximum number of slots that long jobs may use.
 
-    The short ones keep what they use on average: one that finds no slot waits a
-    fraction of its service time for one of its own to end, while each slot kept
-    beyond that stands idle though long jobs are refused. An eighth of the slots is
-    always open to long jobs, so that they aren't starved.
+    Short jobs keep as many slots as they use on average. A short job that finds no free
+    slot waits a fraction of its service time until another short one ends, while each
+    slot reserved beyond that is idle although long jobs are refused. An eighth of the
+    slots is always open to long jobs, so that they don't starve.
 
     Args:
         limit: Present limit on requests in service.
-        short_busy: Slots that short jobs would use on average.
+        short_slots: Slots that short jobs would use on average.
     """
-    return max(1, limit // 8, limit - math.ceil(short_busy))
+    return max(1, limit // 8, limit - math.ceil(short_slots))
--- a/whinwinch/gate.py
+++ b/whinwinch/gate.py
@@ -1,11 +1,11 @@
-"""Admission, waiting and fairness put together for one backend server.
+"""Admission control, queueing and fairness for one backend server.
 
-A request that finds a free slot is admitted whatever the level: by the time it
-is here the hops above have worked for it, so the level is a word to the entries
-and this gate only refuses what it has no room for. The queue between the two
-holds the chance variation of arrivals.
+A request that finds a free slot is admitted whatever the admission level: by the time
+it arrives here, the upstream services have already worked for it. The level is meant
+for the entry daemons, and this gate refuses only what it has no capacity for. The queue
+between the two absorbs the random variation of arrivals.
 
-Short and long jobs have a lane each, with its own queue, demand and level, and
+Short and long jobs have a lane each, with its own queue, demand estimate and level, and
 share the slots.
 """
 
@@ -15,33 +15,34 @@
 
 from . import fairness, hints, limits, messages, waiting
 
-# Time that a changed level takes to act: to the entries with the answers, and
-# back with the requests that they admit. It sets how much may wait and how
-# fast a queue is corrected; shorter than the real time, the level would swing.
-REACTION_SECONDS = 1.0
-CONTROL_SECONDS = 0.05
-# The part of the queue that is held full. A request that makes ten calls waits ten
-# times, and fails where any of them is refused: the fuller the queue, the more of what
-# was let in fails.
-AIM_SHARE = 0.25
-MEAN_SECONDS = 5.0
-# The slack is followed near its lower end (the fall weighs four times the rise,
-# which settles at about the lowest fifth), so that most arrivals can wait out
-# the queue.
-SLACK_FALL = 0.1
-SLACK_RISE = 0.025
-SLACK_START = 1.0
-# Idle slots let the estimate of the demand fall by this time constant at most.
-IDLE_SECONDS = 0.1
-# The correction of the capacity takes several reaction times, so that it and
-# the correction of the queue don't swing against each other.
-TRIM_RATE = 0.1
-TRIM_LOWEST = 0.8
-TRIM_HIGHEST = 1.2
+# Time until a changed level takes effect: it travels to the entry daemons with the
+# answers, and back with the requests that they admit. It determines how many requests
+# may wait and how fast a deviation of the queue is corrected. If it is set shorter than
+# the real delay, the level oscillates.
+FEEDBACK_DELAY_SECONDS = 1.0
+CONTROL_INTERVAL_SECONDS = 0.05
+# Share of the queue that the control loop keeps occupied. A request that makes ten
+# calls queues ten times, and fails when any of them is refused: the fuller the queue,
+# the more of the admitted requests fail.
+TARGET_QUEUE_SHARE = 0.25
+SERVICE_TIME_DECAY_SECONDS = 5.0
+# The slack estimate stays near the lower end of the observed values, so that most
+# arrivals can wait as long as the queue takes: a fall weighs four times as much as a
+# rise, which settles at about the lowest fifth.
+SLACK_FALL_WEIGHT = 0.1
+SLACK_RISE_WEIGHT = 0.025
+INITIAL_SLACK_SECONDS = 1.0
+# Shortest time constant by which idle slots reduce the demand estimate.
+IDLE_DECAY_SECONDS = 0.1
+# The correction of the capacity takes several feedback delays, so that it and the
+# correction of the queue don't oscillate against each other.
+CAPACITY_CORRECTION_RATE = 0.1
+MIN_CAPACITY_FACTOR = 0.8
+MAX_CAPACITY_FACTOR = 1.2
 
 
 class Verdict(enum.Enum):
-    """What becomes of an attempt."""
+    """Outcome of the gate's decision on an attempt."""
 
     ADMIT = "admit"
     WAIT = "wait"
@@ -49,13 +50,13 @@
 
 
 class Decision(NamedTuple):
-    """The gate's word on one attempt.
+    """The gate's decision on one attempt.
 
     Attributes:
-        attempt: The attempt that it is about.
-        verdict: What becomes of it.
-        reason: Why, for REFUSE.
-        retry_after: Seconds after which to ask again, for REFUSE.
+        attempt: The attempt that is decided on.
+        verdict: Whether it is admitted, queued or refused.
+        reason: Why it is refused, for REFUSE.
+        retry_after: Seconds after which the caller may retry, for REFUSE.
         expires: Time by which the gate decides, for WAIT.
     """
 
@@ -67,11 +68,11 @@
 
 
 class Use(NamedTuple):
-    """What the slots of one backend server have been used for since its start.
+    """Cumulative use of the slots of one backend server since its start.
 
     Attributes:
         ended: Requests that have left the backend server.
-        seconds: Seconds spent in slots, by those inside so far too.
+        seconds: Seconds spent in slots, including those of requests still in service.
     """
 
     ended: int = 0
@@ -79,88 +80,112 @@
 
 
 class Lane:
-    """Short or long jobs: their queue, demand, levels and service time."""
+    """The short or the long jobs: their queue, demand, levels and service time."""
 
     def __init__(self, now, dimensions):
         self.queue = waiting.Queue()
         self.shares = fairness.Shares(now, dimensions)
         self.in_service = 0
         self.capacity = 0.0
-        self.factor = 1.0
-        self.slack = SLACK_START
-        self._time = now
-        self._time_sum = 0.0
-        self._count = 0.0
-        self._starts = 0.0
+        self.capacity_factor = 1.0
+        self.slack = INITIAL_SLACK_SECONDS
+        self._observed_at = now
+        self._decayed_seconds = 0.0
+        self._decayed_count = 0.0
+        self._start_time_sum = 0.0
         self._ended = 0
-        self._spent = 0.0
+        self._ended_seconds = 0.0
 
     def start(self, now):
-        """Note that a job has been admitted."""
+        """Record that a job has been admitted."""
         self.in_service += 1
-        self._starts += now
+        self._start_time_sum += now
 
     def end(self, began, now):
-        """Note that a job admitted at `began` has left."""
+        """Record that a job admitted at `began` has left."""
         self.in_service -= 1
-        self._starts -= began
+        self._start_time_sum -= began
         self._ended += 1
-        self._spent += now - began
+        self._ended_seconds += now - began
 
     def measure_use(self, now):
         """Return the `Use` of slots by jobs of this lane."""
-        inside = self.in_service * now - self._starts
-        return Use(self._ended, self._spent + inside)
+        running_seconds = self.in_service * now - self._start_time_sum
+        return Use(self._ended, self._ended_seconds + running_seconds)
 
     def estimate_mean(self, now):
-        """Return the mean service time, allowing for jobs that haven't ended.
+        """Return the mean service time in seconds, including jobs still in service.
 
-        Of jobs that began together the short ones end first. Their mean alone
-        would show too much capacity for seconds after a surge, and none at all
-        until the first has ended. So the time spent so far counts too, and each
-        job inside counts as half ended.
+        Of jobs that began together, the short ones end first. The mean of ended jobs
+        alone would show too much capacity for seconds after a surge, and none at all
+        until the first job has ended. So the time that running jobs have spent so far
+        counts too, and each running job counts as half ended.
         """
-        inside = self.in_service * now - self._starts
-        ended = self._count + 0.5 * self.in_service
-        return (self._time_sum + inside) / ended if ended > 0.0 else 0.0
+        running_seconds = self.in_service * now - self._start_time_sum
+        ended = self._decayed_count + 0.5 * self.in_service
+        return (self._decayed_seconds + running_seconds) / ended if ended > 0.0 else 0.0
 
     @property
     def mean(self):
-        """Mean service time in seconds, 0 when unknown."""
-        return self._time_sum / self._count if self._count > 1e-6 else 0.0
+        """Mean service time of ended jobs in seconds, 0 when unknown."""
+        return (
+            self._decayed_seconds / self._decayed_count
+            if self._decayed_count > 1e-6
+            else 0.0
+        )
+
+    def record_slack(self, seconds):
+        """Update the slack estimate with one arrival.
 
-    def note_slack(self, seconds):
-        """Take the time that one arrival could wait and still be in time."""
-        weight = SLACK_FALL if seconds < self.slack else SLACK_RISE
+        Args:
+            seconds: Seconds that the arrival could wait and still be answered in time.
+        """
+        weight = SLACK_FALL_WEIGHT if seconds < self.slack else SLACK_RISE_WEIGHT
         self.slack += weight * (max(seconds, 0.0) - self.slack)
 
-    def choose_length(self):
-        """Return how many requests may wait."""
-        return waiting.choose_length(self.capacity, REACTION_SECONDS, self.slack)
+    def choose_max_length(self):
+        """Return the maximum number of requests in the queue."""
+        return waiting.choose_max_length(
+            self.capacity, FEEDBACK_DELAY_SECONDS, self.slack
+        )
+
+    def adjust_capacity_factor(self, error, elapsed):
+        """Adjust the capacity factor slowly by the deviation of the queue.
 
-    def trim(self, error, elapsed):
-        """Correct the capacity by what the queue shows, slowly.
+        The mean service time or the levels at the entry daemons may be wrong for long.
+        The queue then stays away from its target length, and this factor compensates
+        for that.
 
-        The mean service time or the levels at the entries may be off for long;
-        the queue then stays off its middle, and this factor takes that up.
+        Args:
+            error: Difference between target and present queue, as a share of its
+                length.
+            elapsed: Seconds since the last adjustment.
         """
-        factor = self.factor + TRIM_RATE * error * elapsed
-        self.factor = min(max(factor, TRIM_LOWEST), TRIM_HIGHEST)
+        factor = self.capacity_factor + CAPACITY_CORRECTION_RATE * error * elapsed
+        self.capacity_factor = min(
+            max(factor, MIN_CAPACITY_FACTOR), MAX_CAPACITY_FACTOR
+        )
 
     def observe(self, seconds, now):
-        """Take the service time of one job."""
-        # At least the last twenty jobs count: with fewer, one slow job would
-        # swing the capacity and with it the level.
-        kept = math.exp(-(now - self._time) / MEAN_SECONDS)
-        if self._count * kept < 20.0:
-            kept = min(1.0, 20.0 / max(self._count, 20.0))
-        self._time = now
-        self._time_sum = self._time_sum * kept + seconds
-        self._count = self._count * kept + 1.0
+        """Record the service time in seconds of one job that ended at `now`."""
+        # At least the last twenty jobs count: with fewer, a single slow job would make
+        # the capacity, and with it the level, jump.
+        retained = math.exp(-(now - self._observed_at) / SERVICE_TIME_DECAY_SECONDS)
+        if self._decayed_count * retained < 20.0:
+            retained = min(1.0, 20.0 / max(self._decayed_count, 20.0))
+        self._observed_at = now
+        self._decayed_seconds = self._decayed_seconds * retained + seconds
+        self._decayed_count = self._decayed_count * retained + 1.0
+
 
+class RunningJob(NamedTuple):
+    """One attempt in service.
 
-class Running(NamedTuple):
-    """One attempt in service: its kind, its lane and when it began."""
+    Attributes:
+        kind: Kind of job.
+        lane: Lane that it runs in.
+        began: Time of its admission, in seconds of the loop's clock.
+    """
 
     kind: str
     lane: Lane
@@ -168,12 +193,13 @@
 
 
 class Gate:
-    """State of admission to one backend server.
+    """Admission state of one backend server.
 
     Args:
-        slots: Requests that the backend server says it can work on at once.
+        slots: Concurrent requests that the backend server announces.
         now: Time at the start, in seconds of the loop's clock.
-        dimensions: Along which callers get shares, as `fairness.Shares` says.
+        dimensions: Dimensions along which fair shares are computed, as in
+            `fairness.Shares`.
     """
 
     def __init__(self, slots, now=0.0, dimensions=fairness.DIMENSIONS):
@@ -182,18 +208,21 @@
         self._short = Lane(now, dimensions)
         self._long = Lane(now, dimensions)
         self._running = {}
-        self._controlled = now
-        self._short_busy = 0.0
+        self._controlled_at = now
+        self._short_slots = 0.0
         self._displaced = []
-        self._longest_wait = math.inf
+        self._max_wait = math.inf
 
     def limit_wait(self, seconds):
-        """Set how long a request may wait for a slot, as operators declare it.
+        """Set how long a request may wait for a slot, as configured by operators.
+
+        It applies to requests that arrive from now on and limits the length of the
+        queue: a request that would wait longer is refused at once.
 
-        It holds for requests that arrive from now on, and sizes the queue: what
-        would wait longer is refused at once.
+        Args:
+            seconds: Longest wait in seconds.
         """
-        self._longest_wait = seconds
+        self._max_wait = seconds
 
     def offer(self, request, now):
         """Decide on an attempt that has arrived.
@@ -209,32 +238,34 @@
         lane = self._choose_lane(kind, now)
         rank = messages.rank_request(request)
         lane.shares.record(request, rank, now)
-        slack = request.deadline - now - self._durations.allow(kind)
-        lane.note_slack(min(slack, self._longest_wait))
+        slack = request.deadline - now - self._durations.estimate_upper(kind)
+        lane.record_slack(min(slack, self._max_wait))
         self._control(now)
-        if self._is_late(request, lane, kind, now):
+        if self._would_miss_deadline(request, lane, kind, now):
             return self._refuse(request, lane, messages.Reason.DEADLINE, now)
-        if not lane.queue and self._has_room(lane):
+        if not lane.queue and self._has_free_slot(lane):
             return self._admit(request, lane, now)
-        return self._enqueue(request, lane, rank, now)
+        return self._queue_or_refuse(request, lane, rank, now)
 
     def finish(self, attempt, now, service_time, succeeded):
-        """Take an admitted attempt's leave of the backend server.
+        """Record that an admitted attempt has left the backend server.
 
         Args:
             attempt: The attempt.
             now: Time of the loop's clock in seconds.
-            service_time: Seconds that it was inside, None when unknown.
-            succeeded: Whether it was answered as it should be.
+            service_time: Seconds that it was in service, None when unknown.
+            succeeded: Whether it was answered successfully.
 
         Returns:
-            Decisions for attempts that waited.
+            Decisions for attempts that were waiting.
         """
         running = self._running.pop(attempt, None)
         if running is None:
             return ()
         lane = running.lane
-        if service_time is not None and self._counts(service_time, succeeded, lane):
+        if service_time is not None and self._is_representative(
+            service_time, succeeded, lane
+        ):
             self._durations.observe(running.kind, service_time)
             lane.observe(service_time, now)
             if lane is self._short:
@@ -244,7 +275,11 @@
         return self._admit_waiting(now)
 
     def withdraw(self, attempt, now):
-        """Drop an attempt that waits and is no longer wanted."""
+        """Remove a waiting attempt that is no longer wanted.
+
+        Returns:
+            Decisions for other attempts that were waiting.
+        """
         self._displaced = [
             (request, lane)
             for request, lane in self._displaced
@@ -256,12 +291,12 @@
 
     @property
     def has_displaced(self):
-        """Whether attempts that gave way are still to be refused by `expire`."""
+        """Whether displaced attempts are still to be refused by `expire`."""
         return bool(self._displaced)
 
     def expire(self, now):
-        """Refuse the attempts that gave way or waited as long as they may."""
-        gave_way = [
+        """Refuse displaced attempts and those that have waited as long as they may."""
+        displaced = [
             self._refuse(request, lane, messages.Reason.QUEUE, now)
             for request, lane in self._displaced
         ]
@@ -269,14 +304,14 @@
         expired = [
             self._refuse(waiter.request, lane, messages.Reason.DEADLINE, now)
             for lane in self._lanes()
-            for waiter in lane.queue.take_expired(now)
+            for waiter in lane.queue.pop_expired(now)
         ]
-        return tuple(gave_way + expired)
+        return tuple(displaced + expired)
 
     def next_expiry(self):
         """Return when `expire` is next due, or None when nothing waits.
 
-        It is due at once when the last `offer` made a waiter give way.
+        It is due at once when the last `offer` displaced a waiting attempt.
         """
         if self._displaced:
             return -math.inf
@@ -288,8 +323,9 @@
 
         Args:
             now: Time of the loop's clock in seconds.
-            request: The request that is answered; the level is that of its
-                lane and flow. Without one, that of short jobs in general.
+            request: The request that is answered; the level is that of its lane and
+                flow. Without a request it is the level of short jobs of flows that
+                aren't hot.
         """
         self._control(now)
         if request is None:
@@ -310,12 +346,16 @@
         return Use(sum(use.ended for use in uses), sum(use.seconds for use in uses))
 
     def find_level(self, kind, now):
-        """Return the admission level of a kind of job, as all callers meet it."""
+        """Return the admission level of a kind of job for flows that aren't hot."""
         self._control(now)
         return self._choose_lane(kind, now).shares.rest_level
 
     def resize(self, slots, now):
-        """Take a newly announced number of slots."""
+        """Apply a newly announced number of slots.
+
+        Returns:
+            Decisions for attempts that were waiting.
+        """
         self._limit.resize(max(1, slots))
         return self._admit_waiting(now)
 
@@ -325,91 +365,92 @@
     def _choose_lane(self, kind, now):
         return self._long if self._durations.is_long(kind, now) else self._short
 
-    def _counts(self, service_time, succeeded, lane):
-        """Return whether a service time says how long the work takes.
+    def _is_representative(self, service_time, succeeded, lane):
+        """Return whether a service time shows how long the work takes.
 
-        A quick failure doesn't: counted, it would make a backend server that
-        fails at once look like the fastest. One that took long does.
+        The time of a quick failure doesn't: counted, it would make a backend server
+        that fails at once look like the fastest. That of a slow failure does.
         """
         return succeeded or service_time > lane.mean
 
-    def _is_late(self, request, lane, kind, now):
-        """Return whether the deadline can't be met even if served next."""
-        left = request.deadline - now
-        if left <= 0.0:
+    def _would_miss_deadline(self, request, lane, kind, now):
+        """Return whether a request would miss its deadline even if served next."""
+        remaining = request.deadline - now
+        if remaining <= 0.0:
             return True
-        # With hardly anything in service it is tried all the same: if all were
-        # refused for a service time seen once, no newer one would ever be seen.
+        # With few requests in service, the request is tried all the same: if one
+        # observed service time led to refusing every request, no newer time would ever
+        # be observed.
         if len(self._running) <= self._limit.value // 10:
             return False
         ahead = lane.queue.count_ahead(int(request.importance))
         wait = ahead / lane.capacity if lane.capacity > 0.0 else 0.0
-        return wait + self._durations.hope(kind) > left
+        return wait + self._durations.estimate_lower(kind) > remaining
 
-    def _long_limit(self):
+    def _max_long_slots(self):
         limit = self._limit.value
-        return fairness.limit_long(limit, self._short_busy)
+        return fairness.compute_long_limit(limit, self._short_slots)
 
-    def _has_room(self, lane):
+    def _has_free_slot(self, lane):
         if len(self._running) >= self._limit.value:
             return False
-        return lane is self._short or lane.in_service < self._long_limit()
+        return lane is self._short or lane.in_service < self._max_long_slots()
 
     def _admit(self, request, lane, now):
         kind = fairness.name_kind(request)
-        self._running[request.attempt] = Running(kind, lane, now)
+        self._running[request.attempt] = RunningJob(kind, lane, now)
         lane.start(now)
         self._durations.start(kind, now)
         return Decision(request.attempt, Verdict.ADMIT)
 
-    def _enqueue(self, request, lane, rank, now):
-        most = lane.choose_length()
+    def _queue_or_refuse(self, request, lane, rank, now):
+        max_waiting = lane.choose_max_length()
         level = lane.shares.level(request)
-        # What the entries would refuse, and no backend server has worked for,
-        # may use a free slot or the first half of the queue and no more.
-        is_new = not request.via
-        if is_new and rank < level and len(lane.queue) >= most // 2:
-            return self._refuse(request, lane, self._name_reason(request, lane), now)
-        if len(lane.queue) >= most:
+        # Requests that the entry daemons would refuse, and that no backend server has
+        # worked for yet, may only use a free slot or the first half of the queue.
+        is_root_request = not request.via
+        if is_root_request and rank < level and len(lane.queue) >= max_waiting // 2:
+            return self._refuse(request, lane, self._choose_reason(request, lane), now)
+        if len(lane.queue) >= max_waiting:
             return self._displace(request, lane, rank, now)
-        return self._wait(request, lane, rank, now)
+        return self._add_waiter(request, lane, rank, now)
 
-    def _wait(self, request, lane, rank, now):
-        least = self._durations.hope(fairness.name_kind(request))
-        latest = min(request.deadline - least, now + self._longest_wait)
-        expires = max(now, latest)
-        due = _find_due(request, now)
+    def _add_waiter(self, request, lane, rank, now):
+        min_service_time = self._durations.estimate_lower(fairness.name_kind(request))
+        latest_start = min(request.deadline - min_service_time, now + self._max_wait)
+        expires = max(now, latest_start)
+        due = _choose_due_time(request, now)
         lane.queue.add(waiting.Waiter(request, rank, now, expires, due))
         return Decision(request.attempt, Verdict.WAIT, expires=expires)
 
     def _displace(self, request, lane, rank, now):
-        """Refuse the newcomer, unless one that waits ranks lower.
+        """Refuse the arriving request, unless a waiting one ranks lower.
 
-        The one that waits can't be answered from here: it is marked as expired,
-        so that the caller's next `expire` refuses it at once.
+        The waiting request can't be answered from here: it is put on the list of
+        displaced requests, so that the caller's next `expire` refuses it at once.
         """
 
-        def measure(waiter):
+        def margin_of(waiter):
             level = lane.shares.level(waiter.request)
             return waiting.measure_margin(waiter.rank, level)
 
-        lowest = lane.queue.find_lowest(measure)
+        lowest = lane.queue.find_lowest(margin_of)
         level = lane.shares.level(request)
         margin = waiting.measure_margin(rank, level)
-        ahead = int(lowest.rank) >= int(rank) and measure(lowest) >= margin
-        if int(lowest.rank) > int(rank) or ahead:
+        waiter_wins = int(lowest.rank) >= int(rank) and margin_of(lowest) >= margin
+        if int(lowest.rank) > int(rank) or waiter_wins:
             return self._refuse(request, lane, messages.Reason.QUEUE, now)
         lane.queue.remove(lowest.request.attempt)
         self._displaced.append((lowest.request, lane))
-        return self._wait(request, lane, rank, now)
+        return self._add_waiter(request, lane, rank, now)
 
     def _refuse(self, request, lane, reason, now):
-        total = lane.shares.total(now)
-        pressure = 1.0 - lane.capacity / total if total > lane.capacity else 0.0
+        demand = lane.shares.estimate_total(now)
+        pressure = 1.0 - lane.capacity / demand if demand > lane.capacity else 0.0
         pause = hints.choose_retry_after(pressure, request.attempt)
         return Decision(request.attempt, Verdict.REFUSE, reason, pause)
 
-    def _name_reason(self, request, lane):
+    def _choose_reason(self, request, lane):
         if lane.shares.is_hot(request):
             return messages.Reason.SHARE
         return messages.Reason.LEVEL
@@ -427,71 +468,84 @@
 
     def _choose_waiting_lane(self):
         """Return the lane whose next waiter gets a free slot, or None."""
-        lanes = [lane for lane in self._lanes() if lane.queue and self._has_room(lane)]
+        lanes = [
+            lane for lane in self._lanes() if lane.queue and self._has_free_slot(lane)
+        ]
         if len(lanes) < 2:
             return lanes[0] if lanes else None
         short, long = (lane.queue.find_next_importance() for lane in lanes)
         if short != long:
             return lanes[0] if short > long else lanes[1]
-        owed = max(1, self._limit.value // 8)
-        return lanes[1] if self._long.in_service < owed else lanes[0]
+        guaranteed_slots = max(1, self._limit.value // 8)
+        return lanes[1] if self._long.in_service < guaranteed_slots else lanes[0]
 
     def _control(self, now):
-        elapsed = now - self._controlled
-        if elapsed < CONTROL_SECONDS:
+        elapsed = now - self._controlled_at
+        if elapsed < CONTROL_INTERVAL_SECONDS:
             return
-        self._controlled = now
+        self._controlled_at = now
         limit = self._limit.value
-        self._measure_short(now)
-        reserved = min(self._long_limit(), self._long.in_service)
-        self._update(self._short, max(1, limit - reserved), elapsed, now)
-        self._update(self._long, self._long_limit(), elapsed, now)
+        self._estimate_short_slots(now)
+        long_slots = min(self._max_long_slots(), self._long.in_service)
+        self._update_levels(self._short, max(1, limit - long_slots), elapsed, now)
+        self._update_levels(self._long, self._max_long_slots(), elapsed, now)
 
-    def _measure_short(self, now):
+    def _estimate_short_slots(self, now):
         """Estimate the slots that short jobs would use if none had to wait."""
-        wanted = self._short.shares.total(now) * self._short.mean
-        self._short_busy = min(wanted, self._limit.value)
+        needed_slots = self._short.shares.estimate_total(now) * self._short.mean
+        self._short_slots = min(needed_slots, self._limit.value)
 
-    def _update(self, lane, slots, elapsed, now):
+    def _update_levels(self, lane, slots, elapsed, now):
         """Set the levels of a lane from its capacity and its queue."""
         mean = lane.estimate_mean(now)
         if mean <= 0.0:
             return
         lane.capacity = slots / mean
-        length = lane.choose_length()
+        length = lane.choose_max_length()
         excess = lane.in_service + len(lane.queue) - slots
-        error = AIM_SHARE * length - max(excess, -length / 2.0)
-        # Without a queue or a level there is nothing to correct: an idle time
-        # would be taken for spare capacity, and the next surge let in for it.
-        is_pressed = lane.queue or lane.shares.rest_level > 0.0
-        lane.trim(error / length if is_pressed else 1.0 - lane.factor, elapsed)
+        error = TARGET_QUEUE_SHARE * length - max(excess, -length / 2.0)
+        # Without a queue or a level there is nothing to correct: an idle period would
+        # be mistaken for spare capacity, and the next surge would be admitted on its
+        # account.
+        is_loaded = lane.queue or lane.shares.rest_level > 0.0
+        lane.adjust_capacity_factor(
+            error / length if is_loaded else 1.0 - lane.capacity_factor, elapsed
+        )
         if excess < 0:
-            # Slots stand idle while a level keeps requests out: the demand is
-            # less than it was. So few arrive above a high level that counting
-            # them takes a second to show it, and callers are refused meanwhile.
-            idle = -excess / slots
-            lane.shares.shrink(math.exp(-idle * elapsed / IDLE_SECONDS))
-        capacity = lane.capacity * lane.factor
-        lane.shares.update(capacity, self._correct(lane, slots, length), now)
-
-    def _correct(self, lane, slots, length):
-        """Return what the queue adds to the capacity for each importance.
-
-        Only what is served before a request delays it. Were the whole queue
-        counted, one full of lesser requests would have important ones refused.
+            # Slots are idle while a level keeps requests out: the demand has fallen. So
+            # few requests arrive above a high level that counting them takes a second
+            # to show the fall, and callers would be refused meanwhile.
+            idle_share = -excess / slots
+            lane.shares.shrink(math.exp(-idle_share * elapsed / IDLE_DECAY_SECONDS))
+        capacity = lane.capacity * lane.capacity_factor
+        lane.shares.update(
+            capacity, self._compute_corrections(lane, slots, length), now
+        )
+
+    def _compute_corrections(self, lane, slots, length):
+        """Return the correction of the capacity by the queue, for each importance.
+
+        Only requests that are served before a given one delay it. If the whole queue
+        counted, a queue full of less important requests would cause important ones to
+        be refused.
+
+        Returns:
+            A list with requests a second to add to the capacity, by importance.
         """
         corrections = []
         for importance in messages.Importance:
             ahead = lane.queue.count_ahead(importance)
             excess = max(lane.in_service + ahead - slots, -length / 2.0)
-            corrections.append((AIM_SHARE * length - excess) / REACTION_SECONDS)
+            corrections.append(
+                (TARGET_QUEUE_SHARE * length - excess) / FEEDBACK_DELAY_SECONDS
+            )
         return corrections
 
 
-def _find_due(request, now):
-    """Return the time by which a request goes before others of its importance.
+def _choose_due_time(request, now):
+    """Return the time that orders a request among those of its importance.
 
-    What is overdue already is worth less than what can still be in time, and goes
-    by its deadline.
+    An overdue request is worth less than one that can still be answered in time, so it
+    is ordered by its deadline instead of its due time.
     """
     return request.due if request.due > now else request.deadline
--- a/whinwinch/waiting.py
+++ b/whinwinch/waiting.py
@@ -1,16 +1,18 @@
-"""Who waits for a slot, in which order, and who is dropped first.
+"""The queue of requests that wait for a slot, its order of service and of dropping.
 
-Load pattern: bursts, and the chance variation of arrivals around a demand that
-the admission level holds at capacity. Without a queue each small burst is
-refused although a slot comes free a moment later; with an unbounded one every
-request waits until its caller has given up, and the work is wasted.
+Load pattern: bursts, and the random variation of arrivals around a demand that the
+admission level keeps at capacity. Without a queue each small burst is refused although
+a slot becomes free a moment later. With an unbounded queue every request waits until
+its caller has given up, and the work is wasted.
 
 Order of service: importance, then the time by which the root request should be
-answered, then arrival. Requests that make many calls in turn wait at each of them;
-by arrival alone the last call of one, for which all else has been done, waits as long
-as the first of another. Order of dropping: lowest importance first, then by the hash
-that all hops share. Strict rank order within one importance would leave the lowest to
-wait until their deadlines and be refused late.
+answered, then arrival. A request that makes many calls in sequence waits at each of
+them. If only arrival counted, its last call, for which all other work has been done,
+would wait as long as the first call of another request.
+
+Order of dropping: lowest importance first, then by the hash that all hops share.
+Serving strictly by rank within one importance would make the lowest ranks wait until
+their deadlines and be refused late.
 """
 
 import bisect
@@ -24,11 +26,11 @@
     """One request that waits for a slot.
 
     Attributes:
-        request: The request.
-        rank: Its rank, as `messages.rank_request` gives it.
+        request: The `messages.Request`.
+        rank: Its rank, as returned by `messages.rank_request`.
         since: When it began to wait, in seconds of the loop's clock.
         expires: Time by which it must be admitted or refused.
-        due: Time by which it goes before others of its importance.
+        due: Time that orders it among requests of its importance, earliest first.
     """
 
     request: object
@@ -38,31 +40,30 @@
     due: float = math.inf
 
 
-class Place(NamedTuple):
-    """Where a waiter stands: the lower, the sooner within its importance.
+class QueuePlace(NamedTuple):
+    """Place of a waiter in the queue; within one importance, lower is served first.
 
     Attributes:
-        importance: Its importance.
-        due: When its root request should be answered, in seconds of the loop's
-            clock.
-        number: Ascending with arrival.
+        importance: Importance of the request.
+        due: When its root request should be answered, in seconds of the loop's clock.
+        arrival: Sequence number in the order of arrival.
     """
 
     importance: int
     due: float
-    number: int
+    arrival: int
 
 
 class Queue:
-    """Requests that wait, ordered by importance, what is due first, and arrival."""
+    """Waiting requests, ordered by importance, due time and arrival."""
 
     def __init__(self):
         self._classes = collections.defaultdict(list)
         self._places = {}
-        self._numbers = itertools.count()
-        # No waiter expires before this; scanned for each request, a long queue
-        # costs more than the decision itself.
-        self._earliest = math.inf
+        self._arrivals = itertools.count()
+        # No waiter expires before this time. Scanning a long queue for each request
+        # would cost more than the decision itself.
+        self._earliest_expiry = math.inf
 
     def __len__(self):
         return len(self._places)
@@ -71,12 +72,12 @@
         return attempt in self._places
 
     def add(self, waiter):
-        """Add a waiter to its importance."""
+        """Add a waiter among those of its importance."""
         request = waiter.request
-        place = Place(int(request.importance), waiter.due, next(self._numbers))
+        place = QueuePlace(int(request.importance), waiter.due, next(self._arrivals))
         self._places[request.attempt] = place
         bisect.insort(self._classes[place.importance], (place, waiter))
-        self._earliest = min(self._earliest, waiter.expires)
+        self._earliest_expiry = min(self._earliest_expiry, waiter.expires)
 
     def remove(self, attempt):
         """Remove and return the waiter of an attempt, or None."""
@@ -98,14 +99,17 @@
 
     def find_next_importance(self):
         """Return the importance of the waiter to be served next, or None."""
-        return max((key for key, ws in self._classes.items() if ws), default=None)
+        return max(
+            (key for key, waiters in self._classes.items() if waiters), default=None
+        )
 
     def find_lowest(self, measure):
-        """Return the waiter to be dropped first, or None.
+        """Return the waiter to be dropped first, or None when nothing waits.
 
         Args:
-            measure: Function from a waiter to its margin; of the lowest
-                importance the waiter with the smallest margin is dropped.
+            measure: Function from a waiter to its margin above the level. Of the
+                waiters of the lowest importance, the one with the smallest margin is
+                dropped.
         """
         for importance in sorted(self._classes):
             waiters = self._classes[importance]
@@ -114,14 +118,14 @@
         return None
 
     def count_ahead(self, importance):
-        """Return how many waiters are served before a newcomer."""
+        """Return how many waiters are served before a new request of an importance."""
         return sum(
             len(waiters) for key, waiters in self._classes.items() if key >= importance
         )
 
-    def take_expired(self, now):
-        """Remove and return the waiters whose time has come."""
-        if now < self._earliest:
+    def pop_expired(self, now):
+        """Remove and return the waiters that have expired by `now`."""
+        if now < self._earliest_expiry:
             return []
         expired = [
             waiter
@@ -131,11 +135,11 @@
         ]
         for waiter in expired:
             self.remove(waiter.request.attempt)
-        self._earliest = self.next_expiry() or math.inf
+        self._earliest_expiry = self.next_expiry() or math.inf
         return expired
 
     def next_expiry(self):
-        """Return the earliest expiry of all waiters, or None."""
+        """Return the earliest expiry of all waiters, or None when nothing waits."""
         return min(
             (
                 waiter.expires
@@ -147,30 +151,31 @@
 
 
 def measure_margin(rank, level):
-    """Return how far a rank is above the level of its flow.
+    """Return the margin of a rank above the level of its flow.
 
-    A hot flow that is cut to a twentieth sends only its highest ranks; compared
-    by rank they would push out every other flow. Measured from the level of the
-    flow, as a share of what the level lets pass, all flows are even.
+    A hot flow that is cut to a twentieth sends only its highest ranks. Compared by
+    rank, they would displace the requests of every other flow. Measured from the level
+    of the flow, as a share of the ranks that the level admits, all flows are
+    comparable.
     """
     top = int(rank) + 1
     return (rank - level) / (top - level) if level < top else -1.0
 
 
-def choose_length(rate, reaction, slack):
-    """Return how many requests may wait.
+def choose_max_length(rate, feedback_delay, slack):
+    """Return the maximum number of requests in the queue.
 
-    The queue has to hold what arrives by chance above the rate during the time
-    that a changed level takes to act, or the variation itself is refused after
-    the hops above have done their work. Arrivals and departures both vary, so
-    the standard deviation is ``sqrt(2 * rate * reaction)``; three of them leave
-    about one refusal in a thousand. But a queue longer than callers can wait is
-    work for nobody: at its usual half length the wait is to be half the slack.
+    The queue has to absorb the arrivals that exceed the rate by chance until a changed
+    level takes effect. Otherwise the variation itself is refused after the upstream
+    services have done their work. Arrivals and departures both vary, so the standard
+    deviation is ``sqrt(2 * rate * feedback_delay)``; three of them leave about one
+    refusal in a thousand. But requests in a queue longer than callers can wait are
+    served for nothing: at its usual half length, the wait should be half the slack.
 
     Args:
         rate: Requests a second that the slots can serve.
-        reaction: Seconds that a changed level takes to act.
-        slack: Seconds that arrivals can wait and still be in time.
+        feedback_delay: Seconds until a changed level takes effect.
+        slack: Seconds that arrivals can wait and still be answered in time.
     """
-    varying = 3.0 * math.sqrt(2.0 * rate * reaction)
-    return max(4, math.ceil(min(varying, rate * slack)))
+    variation = 3.0 * math.sqrt(2.0 * rate * feedback_delay)
+    return max(4, math.ceil(min(variation, rate * slack)))
