--- a/whinwinch/callgraph.py
+++ b/whinwinch/callgraph.py
@@ -1,25 +1,26 @@
-"""Which routes callers use, and which calls belong to which requests.
-
-Load pattern: a service deep down is full. Its refusals reach requests for which
-all hops above have worked, and each refused call fails a whole request. To refuse
-at the entry instead, a daemon has to tell a caller's request from a call that its
-own backend server makes, and has to know which requests make which calls. Where
-calls carry nothing of the request that made them, neither can be read off; both
-can be seen, because a call expires with the request that made it, or earlier where
-the call's own longest time is shorter:
-
-- What expires after everything that runs here can't be a call. The connection it
-  came on is then a caller's, and so is all else that comes on it.
-- A call with the deadline of a running request belongs to that request, unless it
-  has its own longest time, which says only that the request has as much left.
-- A request that makes calls one after the other makes the next one right after the
-  answer to the one before, on the same connection, since that is the one that its
-  pool of connections got back last.
-
-Chance makes deadlines meet too. So a route counts as a caller's, or as the parent
-of another, only from several sights that are a fair share of all. A route that is
-wrongly taken for another's parent is refused for a load that isn't its own, at a
-service that its requests never meet.
+"""Inference of which routes callers use and which calls belong to which requests.
+
+Load pattern: a service deep in the call graph is full. Its refusals reach requests
+that all upstream hops have already worked on, and each refused call fails a whole
+request. To refuse at the entry instead, a daemon has to distinguish a caller's
+request from a call that its local backend server makes, and has to know which
+requests make which calls. Calls that carry no reference to their request state
+neither. Both are inferred from deadlines, because a call expires together with the
+request that made it, or earlier where the call has a shorter timeout of its own:
+
+- A request that expires later than every request that runs here can't be a call. Its
+  connection then belongs to a caller, and so does every other request on it.
+- A call with the same deadline as a running request belongs to that request, unless
+  the call has its own full timeout left, which only shows that its request has at
+  least as much time left.
+- A request that makes calls in sequence makes the next one right after the answer to
+  the previous one and on the same connection, since its connection pool reuses the
+  connection that was returned last.
+
+Deadlines also match by chance. A route therefore counts as an entry, or as the parent
+of another route, only after several observations that make up a minimum share of all
+of them. A route wrongly taken for a parent would be refused for the load of a service
+that its requests never reach.
 """
 
 import collections
@@ -27,51 +28,59 @@
 import math
 from typing import NamedTuple
 
-# One sight proves nothing: a request may end just before its last call arrives.
-SURE_SIGHTS = 3
-# Chance meetings of deadlines were 1 % of the sights of a call; a parent that makes
-# fewer of a route's calls than this isn't worth knowing.
-SURE_SHARE = 0.05
-# Requests for the own service that no call can be matched with, and their share of
-# all, from which on callers make them.
-SURE_STRAYS = 8
-STRAY_SHARE = 0.8
-# Requests that can't be calls make their connection a caller's.
-SURE_PROOFS = 2
-# Deadlines travel in whole milliseconds, and a busy event loop reads late.
-SAME_SECONDS = 0.004
-# What a call has left is rounded down to a millisecond.
-ROUNDING_SECONDS = 0.001
-# A busy event loop reads a call this late at most; so much later than all that runs
-# a call can't expire.
-PROOF_SECONDS = 0.25
-# The next call of a request comes this soon after the answer to the one before.
-CHAIN_SECONDS = 0.003
-# Of the usual number of calls and time until the first the last fifty or so count.
-HABIT_WEIGHT = 0.02
-# A request has made all its calls when the mean is less than this above.
-MORE_CALLS = 0.5
-# Until this many times the usual delay has passed a first call may still come.
-YOUNG_DELAYS = 4.0
-# Sights of a call from which on other daemons are told of it. What one takes wrongly
-# for a call misleads it alone; told, it would mislead all.
-TOLD_SIGHTS = 10
-# Routes remembered at most; a configuration has some dozens.
-MOST_ROUTES = 1024
-# Connections of callers remembered at most, some 100 bytes each.
-MOST_CONNECTIONS = 4096
+# A single observation may be an error: a request may end just before its last call
+# arrives.
+MIN_OBSERVATIONS = 3
+# About 1 % of the observations of a call are deadlines that match by chance. A parent
+# that makes a smaller share of a route's calls than this has little effect.
+MIN_OBSERVATION_SHARE = 0.05
+# A route to the local service is an entry from this many requests that match no
+# running request, if they also make up this share of its requests.
+MIN_UNMATCHED = 8
+MIN_UNMATCHED_SHARE = 0.8
+# Requests that can't be calls, from which on their connection counts as a caller's.
+MIN_CALLER_REQUESTS = 2
+# Deadlines are sent in whole milliseconds, and a busy event loop reads them late.
+DEADLINE_TOLERANCE_SECONDS = 0.004
+# The time left that a call states is rounded down to a millisecond.
+DEADLINE_ROUNDING_SECONDS = 0.001
+# Upper bound on how late a busy event loop reads a call. A call can't expire later
+# than all running requests by more than this.
+MAX_READ_DELAY_SECONDS = 0.25
+# Longest time between an answer and the next call of the same request.
+MAX_NEXT_CALL_DELAY_SECONDS = 0.003
+# Weight of a new sample in the means of a call pattern: an average over about the last
+# fifty requests.
+PATTERN_WEIGHT = 0.02
+# A request counts as done with its calls when it is within this of the mean number.
+MIN_REMAINING_CALLS = 0.5
+# The first call of a request is still expected until this many times its usual delay
+# has passed.
+MAX_FIRST_CALL_DELAYS = 4.0
+# Observations of a call between routes before it is reported to other daemons. A wrong
+# one misleads only this daemon until then; reported, it would mislead all daemons.
+MIN_REPORTED_OBSERVATIONS = 10
+# A configuration has some dozens of routes.
+MAX_ROUTES = 1024
+# Each remembered connection takes about 100 bytes.
+MAX_CONNECTIONS = 4096
 _NO_PARENTS = {}
 
 
 class Edge(NamedTuple):
-    """Requests of one route make calls of another."""
+    """Calls that requests of one route make to another.
+
+    Attributes:
+        parent: Name of the route whose requests make the calls.
+        child: Name of the route that is called.
+    """
 
     parent: str
     child: str
 
 
 class Facts(NamedTuple):
-    """What a daemon can tell others of routes.
+    """The part of the call topology that daemons report to each other.
 
     Attributes:
         entries: Names of the routes that callers use.
@@ -83,7 +92,16 @@
 
 
 class Running(NamedTuple):
-    """A request inside the own backend server; times in the loop's seconds."""
+    """A request that the local backend server executes.
+
+    Attributes:
+        route: Name of its route.
+        root: Name of the route of its root request.
+        importance: Importance as a number, higher is more important.
+        deadline: When it expires, by the loop's clock in seconds.
+        due: When its answer is due, by the loop's clock in seconds.
+        is_repeat: Whether it repeats an earlier request.
+    """
 
     route: str
     root: str
@@ -94,26 +112,26 @@
 
 
 class Run:
-    """A request inside the own backend server, and the calls it has made.
+    """One execution of a request by the local backend server, with its calls.
 
     Attributes:
         request: `Running`.
-        started: When it went in.
-        importance: What its calls get.
-        made: How many calls it has made.
-        out: How many of them are out.
-        called: Route of its latest call, "" before the first.
-        is_sure: Whether its deadline has shown a call to be its own.
-        has_ended: Whether it has come out.
+        started: When it was sent to the backend server, by the loop's clock.
+        importance: Importance that its calls inherit.
+        made: Number of calls that it has made.
+        calls_in_flight: Number of its calls that haven't been answered.
+        last_called_route: Route of its latest call, "" before the first.
+        is_confirmed: Whether a matching deadline has confirmed one of its calls.
+        has_ended: Whether the backend server no longer executes it.
     """
 
     __slots__ = (
-        "called",
+        "calls_in_flight",
         "has_ended",
         "importance",
-        "is_sure",
+        "is_confirmed",
+        "last_called_route",
         "made",
-        "out",
         "request",
         "started",
     )
@@ -123,21 +141,21 @@
         self.started = started
         self.importance = request.importance
         self.made = 0
-        self.out = 0
-        self.called = ""
-        self.is_sure = False
+        self.calls_in_flight = 0
+        self.last_called_route = ""
+        self.is_confirmed = False
         self.has_ended = False
 
 
 class Parent(NamedTuple):
-    """What made a call, as far as can be told.
+    """The inferred parent of a call.
 
     Attributes:
         run: The `Run`.
-        importance: Its importance; where others may have made the call too, one
-            between theirs.
-        due: Time by which its answer is due; where others may have made the call
-            too, the earliest of theirs that is still to come.
+        importance: Its importance; where several runs may have made the call, the
+            midpoint of theirs.
+        due: When its answer is due; where several runs may have made the call, the
+            earliest of theirs that hasn't passed.
     """
 
     run: Run
@@ -145,66 +163,75 @@
     due: float
 
 
-class Habit:
-    """What the requests of one route usually do.
+class CallPattern:
+    """Moving averages of the calls that requests of one route make.
 
     Attributes:
-        calls: Mean number of calls that one makes.
-        delay: Mean seconds until the first.
+        calls: Mean number of calls per request.
+        delay: Mean time until the first call in seconds.
     """
 
-    __slots__ = ("_ends", "_firsts", "calls", "delay")
+    __slots__ = ("_delay_samples", "_ended_requests", "calls", "delay")
 
     def __init__(self):
         self.calls = 0.0
         self.delay = 0.0
-        self._ends = 0
-        self._firsts = 0
-
-    def note_end(self, made):
-        """Take the number of calls that one has made in all."""
-        self._ends += 1
-        self.calls += max(HABIT_WEIGHT, 1.0 / self._ends) * (made - self.calls)
+        self._ended_requests = 0
+        self._delay_samples = 0
+
+    def record_end(self, made):
+        """Update the mean number of calls with one request that has ended."""
+        self._ended_requests += 1
+        self.calls += max(PATTERN_WEIGHT, 1.0 / self._ended_requests) * (
+            made - self.calls
+        )
 
-    def note_first(self, delay):
-        """Take the time until the first call of one."""
-        self._firsts += 1
-        self.delay += max(HABIT_WEIGHT, 1.0 / self._firsts) * (delay - self.delay)
+    def record_first_call(self, delay):
+        """Update the mean delay with the time until one request's first call."""
+        self._delay_samples += 1
+        self.delay += max(PATTERN_WEIGHT, 1.0 / self._delay_samples) * (
+            delay - self.delay
+        )
 
     def has_more(self, made):
-        """Return whether another call is likely after so many."""
-        return self._ends < SURE_SIGHTS or made < self.calls - MORE_CALLS
+        """Return whether a request that has made `made` calls probably makes more."""
+        return (
+            self._ended_requests < MIN_OBSERVATIONS
+            or made < self.calls - MIN_REMAINING_CALLS
+        )
 
 
 class CallGraph:
-    """What one daemon has seen of routes and calls.
+    """The routes and calls that one daemon has observed.
 
     Attributes:
-        horizon: Time of the loop's clock by which everything has expired that the
-            backend server was given before this daemon started. Until then its
-            calls look like those of callers.
+        horizon: Time of the loop's clock by which every request has expired that the
+            backend server received before this daemon started. Until then its calls
+            can't be distinguished from callers' requests.
     """
 
     def __init__(self):
         self.horizon = 0.0
         self._running = {}
-        # Running requests by deadline, in steps of `SAME_SECONDS`.
-        self._steps = {}
-        # Requests given up on, which the backend server may still work on.
-        self._given_up = []
+        # Running requests by deadline, in buckets of `DEADLINE_TOLERANCE_SECONDS`.
+        self._deadline_buckets = {}
+        # Heap of the deadlines of abandoned requests, which the backend server may
+        # still execute.
+        self._abandoned_deadlines = []
         self._arrivals = collections.Counter()
-        self._sights = collections.Counter()
-        self._strays = collections.Counter()
-        self._proofs = collections.OrderedDict()
+        self._caller_arrivals = collections.Counter()
+        self._unmatched = collections.Counter()
+        # Number of requests that can't be calls, by connection.
+        self._caller_requests = collections.OrderedDict()
         self._entries = set()
         self._parents = {}
-        # `Edge` tuples that others told.
-        self._told = set()
-        self._longest = {}
-        self._habits = collections.OrderedDict()
-        # By connection: the run whose call was answered last on it, and when.
-        self._last = collections.OrderedDict()
-        self._turn = 0
+        # `Edge` tuples that other daemons reported.
+        self._reported_edges = set()
+        self._max_time_left = {}
+        self._patterns = collections.OrderedDict()
+        # By connection: the parent of the call answered last on it, and when.
+        self._last_answered = collections.OrderedDict()
+        self._rotation = 0
 
     @property
     def entries(self):
@@ -212,228 +239,256 @@
         return frozenset(self._entries)
 
     def start(self, attempt, running, now):
-        """Note that a request goes into the own backend server."""
+        """Record that the local backend server starts to execute a request.
+
+        Args:
+            attempt: Identifier of the attempt.
+            running: The `Running` request.
+            now: Time of the loop's clock in seconds.
+        """
         run = self._running[attempt] = Run(running, now)
-        self._steps.setdefault(_find_step(running.deadline), {})[attempt] = run
+        self._deadline_buckets.setdefault(_find_bucket(running.deadline), {})[
+            attempt
+        ] = run
 
-    def end(self, attempt, answered=True, whole=True):
-        """Note that it has come out.
+    def end(self, attempt, answered=True, completed=True):
+        """Record that the local backend server no longer executes a request.
 
         Args:
-            attempt: The attempt.
-            answered: Whether by its answer; else the backend server may still
+            attempt: Identifier of the attempt.
+            answered: Whether it was answered; else the backend server may still
                 work on it and make calls.
-            whole: Whether with success, so that it has made all its calls.
+            completed: Whether it succeeded, so that it has made all its calls.
         """
         run = self._running.pop(attempt, None)
         if run is None:
             return
         run.has_ended = True
         deadline = run.request.deadline
-        step = _find_step(deadline)
-        del self._steps[step][attempt]
-        if not self._steps[step]:
-            del self._steps[step]
-        if whole:
-            self._find_habit(run).note_end(run.made)
+        bucket = _find_bucket(deadline)
+        del self._deadline_buckets[bucket][attempt]
+        if not self._deadline_buckets[bucket]:
+            del self._deadline_buckets[bucket]
+        if completed:
+            self._find_pattern(run).record_end(run.made)
         if not answered:
-            heapq.heappush(self._given_up, deadline)
+            heapq.heappush(self._abandoned_deadlines, deadline)
 
     def list_facts(self):
-        """Return the `Facts` that were seen here or told by others."""
-        seen = {
+        """Return the `Facts` that this daemon observed or that others reported."""
+        observed = {
             Edge(parent, child)
             for child, parents in self._parents.items()
-            for parent, sights in parents.items()
-            if sights >= TOLD_SIGHTS and _is_parent(parents, parent)
+            for parent, observations in parents.items()
+            if observations >= MIN_REPORTED_OBSERVATIONS
+            and _is_confirmed_parent(parents, parent)
         }
-        return Facts(tuple(sorted(self._entries)), tuple(sorted(seen | self._told)))
+        return Facts(
+            tuple(sorted(self._entries)),
+            tuple(sorted(observed | self._reported_edges)),
+        )
 
     def learn(self, facts):
-        """Take the `Facts` of another daemon.
+        """Merge the `Facts` of another daemon.
 
-        They stand for the first sights here: what is seen here goes against them where
-        it differs.
+        Each call counts as `MIN_OBSERVATIONS` local observations, so that local
+        observations that contradict it outweigh it in time.
         """
-        if len(self._entries) < MOST_ROUTES:
+        if len(self._entries) < MAX_ROUTES:
             self._entries.update(facts.entries)
         for edge in facts.calls:
-            if edge in self._told or len(self._told) >= MOST_ROUTES:
+            if edge in self._reported_edges or len(self._reported_edges) >= MAX_ROUTES:
                 continue
-            self._told.add(edge)
-            self._note_child(edge.parent, edge.child, SURE_SIGHTS)
+            self._reported_edges.add(edge)
+            self._record_edge(edge.parent, edge.child, MIN_OBSERVATIONS)
 
     def observe(self, route, connection, deadline, now):
-        """Take the arrival of a request or call.
+        """Record the arrival of a request or call.
 
         Args:
             route: Name of its route.
             connection: Number of the connection that it came on.
-            deadline: When it expires, as it states itself.
-            now: Time of the loop's clock.
+            deadline: The deadline that it states, by the loop's clock in seconds.
+            now: Time of the loop's clock in seconds.
 
         Returns:
-            Whether it surely comes from a caller.
+            Whether it certainly comes from a caller.
         """
-        proven = self._is_callers(connection)
-        if not proven and self._expires_last(deadline, now):
-            self._note_proof(connection)
-            proven = True
+        is_callers = self._is_caller_connection(connection)
+        if not is_callers and self._expires_last(deadline, now):
+            self._record_caller_request(connection)
+            is_callers = True
         if route in self._entries:
             return True
-        if len(self._arrivals) < MOST_ROUTES:
+        if len(self._arrivals) < MAX_ROUTES:
             self._arrivals[route] += 1
-        if proven:
-            self._sights[route] += 1
-            if self._is_sure(route):
+        if is_callers:
+            self._caller_arrivals[route] += 1
+            if self._is_confirmed_entry(route):
                 self._entries.add(route)
-        return proven
+        return is_callers
 
     def is_entry(self, route):
-        """Return whether a route is surely one that callers use."""
+        """Return whether a route is known to be used by callers."""
         return route in self._entries
 
     def find_children(self, route):
-        """Return the routes that requests of a route are known to call."""
+        """Return the names of the routes that requests of a route are known to call."""
         return frozenset(
             child
             for child, parents in self._parents.items()
-            if child not in self._entries and _is_parent(parents, route)
+            if child not in self._entries and _is_confirmed_parent(parents, route)
         )
 
-    def _note_stray(self, route):
-        """Take a request for the own service that nothing shows to be a call.
+    def _record_unmatched(self, route):
+        """Record a request to the local service that matches no running request.
 
-        A service that calls itself is rare, and its calls follow each other; where
-        nearly all come out of nothing, callers make them.
+        Few services call themselves, and such calls follow each other on one
+        connection. A route of which nearly all requests match nothing is an entry.
         """
-        if len(self._strays) < MOST_ROUTES:
-            self._strays[route] += 1
+        if len(self._unmatched) < MAX_ROUTES:
+            self._unmatched[route] += 1
         arrivals = self._arrivals[route]
-        if arrivals >= SURE_STRAYS and self._strays[route] > STRAY_SHARE * arrivals:
+        if (
+            arrivals >= MIN_UNMATCHED
+            and self._unmatched[route] > MIN_UNMATCHED_SHARE * arrivals
+        ):
             self._entries.add(route)
 
     def begin_call(self, route, connection, deadline, now, is_own=False):
-        """Return the `Parent` of a call, or None where nothing can have made it.
+        """Return the `Parent` of a call, or None where no request can have made it.
 
         Args:
             route: Name of the call's route.
             connection: Number of the connection that it came on.
-            deadline: When the call expires, as it states itself.
-            now: Time of the loop's clock.
-            is_own: Whether it goes to the service of the own backend server.
+            deadline: The deadline that it states, by the loop's clock in seconds.
+            now: Time of the loop's clock in seconds.
+            is_own: Whether it goes to the service of the local backend server.
         """
-        same = ()
-        is_longest = self._is_longest(route, deadline - now)
-        if not is_longest:
-            same = self._find_same(deadline)
-        last = self._find_last(route, connection, now)
-        if last is not None and (is_longest or last.run in same):
-            parent = last
+        matching = ()
+        has_full_timeout = self._has_full_timeout(route, deadline - now)
+        if not has_full_timeout:
+            matching = self._find_matching(deadline)
+        previous = self._find_previous(route, connection, now)
+        if previous is not None and (has_full_timeout or previous.run in matching):
+            parent = previous
         else:
-            parent = self._find_nearest(same, route, deadline)
-            if parent is not None and last is not None:
-                parent = _carry(parent.run, last.importance)
+            parent = self._match_deadline(matching, route, deadline)
+            if parent is not None and previous is not None:
+                parent = _build_parent(parent.run, previous.importance)
         if parent is None:
             if is_own:
-                self._note_stray(route)
-            parent = self._guess(route, deadline, now)
+                self._record_unmatched(route)
+            parent = self._infer_parent(route, deadline, now)
         if parent is not None:
-            self._note_call(parent.run, route, now)
+            self._record_call(parent.run, route, now)
         return parent
 
     def end_call(self, parent, connection, now):
-        """Note that a call of a `Parent` has been answered."""
-        parent.run.out -= 1
-        self._last.pop(connection, None)
-        self._last[connection] = (parent, now)
-        if len(self._last) > MOST_CONNECTIONS:
-            self._last.popitem(last=False)
-
-    def _note_call(self, run, route, now):
+        """Record that a call of a `Parent` has been answered.
+
+        Args:
+            parent: The `Parent` that `begin_call` returned.
+            connection: Number of the connection that the call came on.
+            now: Time of the loop's clock in seconds.
+        """
+        parent.run.calls_in_flight -= 1
+        self._last_answered.pop(connection, None)
+        self._last_answered[connection] = (parent, now)
+        if len(self._last_answered) > MAX_CONNECTIONS:
+            self._last_answered.popitem(last=False)
+
+    def _record_call(self, run, route, now):
         if not run.made:
-            self._find_habit(run).note_first(now - run.started)
+            self._find_pattern(run).record_first_call(now - run.started)
         run.made += 1
-        run.out += 1
-        run.called = route
+        run.calls_in_flight += 1
+        run.last_called_route = route
 
     def _expires_last(self, deadline, now):
-        """Return whether a deadline is later than that of all that may call."""
-        earliest = deadline - PROOF_SECONDS
+        """Return whether a deadline is later than those of all possible parents."""
+        earliest = deadline - MAX_READ_DELAY_SECONDS
         if self.horizon > earliest:
             return False
-        given_up = self._given_up
-        while given_up and given_up[0] < now - PROOF_SECONDS:
-            heapq.heappop(given_up)
-        if any(other > earliest for other in given_up):
+        abandoned = self._abandoned_deadlines
+        while abandoned and abandoned[0] < now - MAX_READ_DELAY_SECONDS:
+            heapq.heappop(abandoned)
+        if any(other > earliest for other in abandoned):
             return False
         return not any(
             run.request.deadline > earliest for run in self._running.values()
         )
 
-    def _is_sure(self, route):
-        """Return whether the sights of a caller's route are more than chance."""
-        sights = self._sights[route]
-        return sights >= max(SURE_SIGHTS, SURE_SHARE * self._arrivals[route])
+    def _is_confirmed_entry(self, route):
+        """Return whether callers' requests of a route can't be explained by chance."""
+        arrivals = self._caller_arrivals[route]
+        return arrivals >= max(
+            MIN_OBSERVATIONS, MIN_OBSERVATION_SHARE * self._arrivals[route]
+        )
+
+    def _is_caller_connection(self, connection):
+        return self._caller_requests.get(connection, 0) >= MIN_CALLER_REQUESTS
+
+    def _record_caller_request(self, connection):
+        self._caller_requests[connection] = self._caller_requests.get(connection, 0) + 1
+        if len(self._caller_requests) > MAX_CONNECTIONS:
+            self._caller_requests.popitem(last=False)
 
-    def _is_callers(self, connection):
-        return self._proofs.get(connection, 0) >= SURE_PROOFS
+    def _has_full_timeout(self, route, time_left):
+        """Return whether a call has the longest time left that its route has had.
 
-    def _note_proof(self, connection):
-        self._proofs[connection] = self._proofs.get(connection, 0) + 1
-        if len(self._proofs) > MOST_CONNECTIONS:
-            self._proofs.popitem(last=False)
+        Such a call expires by its own timeout and not by its parent's deadline.
+        """
+        longest = self._max_time_left.get(route, 0.0)
+        if time_left > longest and len(self._max_time_left) < MAX_ROUTES:
+            self._max_time_left[route] = time_left
+        return time_left > longest - 2.0 * DEADLINE_ROUNDING_SECONDS
 
-    def _is_longest(self, route, left):
-        """Return whether a call has the longest time of its route left.
+    def _find_previous(self, route, connection, now):
+        """Return the parent of the call just answered on a connection, or None.
 
-        Then it is its own time that ends it, not its parent's deadline.
+        None also where that parent has ended, has called another route since or has
+        probably made all its calls.
         """
-        longest = self._longest.get(route, 0.0)
-        if left > longest and len(self._longest) < MOST_ROUTES:
-            self._longest[route] = left
-        return left > longest - 2.0 * ROUNDING_SECONDS
-
-    def _find_last(self, route, connection, now):
-        """Return the parent whose call a connection has just been answered."""
-        parent, answered = self._last.get(connection, (None, 0.0))
-        if parent is None or now - answered > CHAIN_SECONDS:
+        parent, answered = self._last_answered.get(connection, (None, 0.0))
+        if parent is None or now - answered > MAX_NEXT_CALL_DELAY_SECONDS:
             return None
         run = parent.run
-        if run.has_ended or run.called != route:
+        if run.has_ended or run.last_called_route != route:
             return None
-        return parent if self._find_habit(run).has_more(run.made) else None
+        return parent if self._find_pattern(run).has_more(run.made) else None
 
-    def _find_same(self, deadline):
-        """Return the runs that expire with a call."""
-        middle = _find_step(deadline)
+    def _find_matching(self, deadline):
+        """Return the runs that have the deadline of a call."""
+        middle = _find_bucket(deadline)
         return [
             run
-            for step in (middle - 1, middle, middle + 1)
-            for run in self._steps.get(step, {}).values()
-            if abs(run.request.deadline - deadline) < SAME_SECONDS
+            for bucket in (middle - 1, middle, middle + 1)
+            for run in self._deadline_buckets.get(bucket, {}).values()
+            if abs(run.request.deadline - deadline) < DEADLINE_TOLERANCE_SECONDS
         ]
 
-    def _find_nearest(self, same, route, deadline):
-        """Return the parent that expires next to a call, or None."""
-        if not same:
+    def _match_deadline(self, matching, route, deadline):
+        """Return the parent whose deadline is nearest to that of a call, or None."""
+        if not matching:
             return None
-        expected = deadline + ROUNDING_SECONDS / 2.0
-        run = min(same, key=lambda run: abs(run.request.deadline - expected))
-        run.is_sure = True
-        self._note_child(run.request.route, route)
+        expected = deadline + DEADLINE_ROUNDING_SECONDS / 2.0
+        run = min(matching, key=lambda run: abs(run.request.deadline - expected))
+        run.is_confirmed = True
+        self._record_edge(run.request.route, route)
         return Parent(run, run.importance, run.request.due)
 
-    def _guess(self, route, deadline, now):
+    def _infer_parent(self, route, deadline, now):
         """Return a parent that may have made a call, or None.
 
-        Of the requests that may make their first call the one that has run about as
-        long as most have until then. Its importance is between theirs: at the
-        guessed one half of an important request's calls would be shed with those of
-        lesser ones; at the highest nearly all calls would be important, at a service
-        that the lesser ones make most calls of.
+        Of the runs that may make their first call now, choose the one that has run
+        for about the mean delay of a first call. The call's importance is the
+        midpoint of all candidates: with the importance of the chosen run, half of an
+        important request's calls would be shed with those of less important ones;
+        with the highest importance nearly all calls would be important at a service
+        that mainly serves less important requests.
         """
-        earliest = deadline - SAME_SECONDS
+        earliest = deadline - DEADLINE_TOLERANCE_SECONDS
         possible = [
             run for run in self._running.values() if run.request.deadline > earliest
         ]
@@ -441,86 +496,97 @@
             return None
         first = possible[0].request.route
         if all(run.request.route == first for run in possible):
-            self._note_child(first, route)
+            self._record_edge(first, route)
         else:
-            possible = self._keep_fitting(possible, route)
-        young = [run for run in possible if self._is_young(run, now)]
-        if young:
-            run = min(young, key=lambda run: (run.made, self._measure_haste(run, now)))
-            return _guess_parent(run, young, now)
-        idle = [run for run in possible if not run.out] or possible
-        self._turn += 1
-        return _guess_parent(idle[self._turn % len(idle)], idle, now)
-
-    def _is_young(self, run, now):
+            possible = self._prefer_known_parents(possible, route)
+        starting = [run for run in possible if self._may_make_first_call(run, now)]
+        if starting:
+            run = min(
+                starting, key=lambda run: (run.made, self._measure_deviation(run, now))
+            )
+            return _build_inferred_parent(run, starting, now)
+        idle = [run for run in possible if not run.calls_in_flight] or possible
+        self._rotation += 1
+        return _build_inferred_parent(idle[self._rotation % len(idle)], idle, now)
+
+    def _may_make_first_call(self, run, now):
         """Return whether a run may be about to make its first call.
 
-        Also one that was guessed to have made it, until its deadline confirms that.
+        This includes a run whose first call was only inferred, until a matching
+        deadline confirms one of its calls.
         """
-        if run.is_sure:
+        if run.is_confirmed:
             return False
-        delay = self._find_habit(run).delay
-        return not run.called or now - run.started < YOUNG_DELAYS * delay
+        delay = self._find_pattern(run).delay
+        return (
+            not run.last_called_route
+            or now - run.started < MAX_FIRST_CALL_DELAYS * delay
+        )
 
-    def _measure_haste(self, run, now):
-        """Return how far a run is from the usual time of its first call."""
-        return abs(now - run.started - self._find_habit(run).delay)
+    def _measure_deviation(self, run, now):
+        """Return the seconds between a run's age and the mean delay of a first call."""
+        return abs(now - run.started - self._find_pattern(run).delay)
 
-    def _find_habit(self, run):
+    def _find_pattern(self, run):
         route = run.request.route
-        habit = self._habits.get(route)
-        if habit is None:
-            habit = self._habits[route] = Habit()
-            if len(self._habits) > MOST_ROUTES:
-                self._habits.popitem(last=False)
-        return habit
-
-    def _keep_fitting(self, possible, route):
-        """Return those whose route is known to call another, or all."""
+        pattern = self._patterns.get(route)
+        if pattern is None:
+            pattern = self._patterns[route] = CallPattern()
+            if len(self._patterns) > MAX_ROUTES:
+                self._patterns.popitem(last=False)
+        return pattern
+
+    def _prefer_known_parents(self, possible, route):
+        """Return the runs whose route is known to call another, or all if none is."""
         parents = self._parents.get(route, _NO_PARENTS)
-        fitting = [run for run in possible if _is_parent(parents, run.request.route)]
-        return fitting or possible
+        known = [
+            run for run in possible if _is_confirmed_parent(parents, run.request.route)
+        ]
+        return known or possible
 
-    def _note_child(self, parent, route, sights=1):
-        """Note calls that requests of no other route are likely to have made."""
+    def _record_edge(self, parent, route, observations=1):
+        """Record observations that requests of one route call another."""
         parents = self._parents.get(route)
         if parents is None:
-            if len(self._parents) >= MOST_ROUTES:
+            if len(self._parents) >= MAX_ROUTES:
                 return
             parents = self._parents[route] = collections.Counter()
-        if parent in parents or len(parents) < MOST_ROUTES:
-            parents[parent] += sights
+        if parent in parents or len(parents) < MAX_ROUTES:
+            parents[parent] += observations
 
 
-def _is_parent(parents, route):
-    """Return whether a route made enough of the calls counted by parent."""
-    sights = parents.get(route, 0)
-    return sights >= max(SURE_SIGHTS, SURE_SHARE * sum(parents.values()))
+def _is_confirmed_parent(parents, route):
+    """Return whether a route made a sufficient share of the calls counted by parent."""
+    observations = parents.get(route, 0)
+    return observations >= max(
+        MIN_OBSERVATIONS, MIN_OBSERVATION_SHARE * sum(parents.values())
+    )
 
 
-def _carry(run, importance):
-    """Return a run as parent, with some importance at least from now on.
+def _build_parent(run, importance):
+    """Return a run as parent, after raising its importance to at least a given one.
 
-    A request whose first calls went as more important than it is keeps that. Its
-    last calls would be shed otherwise, with all that was done for the first.
+    A request whose first calls were sent with a higher importance than its own keeps
+    that importance. Otherwise its last calls would be shed and the work on the first
+    ones lost.
     """
     run.importance = max(run.importance, importance)
     return Parent(run, run.importance, run.request.due)
 
 
-def _guess_parent(run, possible, now):
-    """Return one of the runs that may have made a call as its parent.
+def _build_inferred_parent(run, possible, now):
+    """Return the run chosen among those that may have made a call as its parent.
 
-    Its importance is between theirs, the higher of two. It goes by the earliest time
-    of theirs: by that of the guessed one calls of important requests would wait behind
-    what is due sooner.
+    The importance is the midpoint of the lowest and the highest of all candidates,
+    rounded up. The due time is the earliest of theirs: with that of the chosen run,
+    calls of important requests would wait behind calls that are due sooner.
     """
     importances = [int(other.request.importance) for other in possible]
     middle = math.ceil((min(importances) + max(importances)) / 2.0)
     own = run.request.due
     due = min((o.request.due for o in possible if o.request.due > now), default=own)
-    return _carry(run, middle)._replace(importance=middle, due=due)
+    return _build_parent(run, middle)._replace(importance=middle, due=due)
 
 
-def _find_step(deadline):
-    return int(deadline / SAME_SECONDS)
+def _find_bucket(deadline):
+    return int(deadline / DEADLINE_TOLERANCE_SECONDS)
