--- a/test/test_placement.py
+++ b/test/test_placement.py
@@ -11,7 +11,7 @@
     messages.Endpoint(f"d{i}", f"10.0.0.{i}:1", "catalog", "a", "r", 10)
     for i in range(4)
 )
-# Of endpoints in zones a, a, b, b, c, c, in seconds.
+# Latencies of endpoints in the zones a, a, b, b, c and c, in seconds.
 LATENCIES = (0.2, 0.07, 0.1, 0.1, 0.1, 0.1)
 REQUEST = messages.Request(
     "x", "x", "catalog", "list", "GET", "/", messages.Importance.NORMAL, 10.0
@@ -23,7 +23,13 @@
 
 
 def run(latencies, statuses, count=1000):
-    """Send one call at a time and count where they went."""
+    """Send one call after the other and return the number of calls by daemon.
+
+    Args:
+        latencies: Seconds that a call takes, by daemon; 0.01 where left out.
+        statuses: Response status, by daemon; 200 where left out.
+        count: Number of calls.
+    """
     place = placement.Placement("a", random.Random(7))
     chosen = collections.Counter()
     now = 0.0
@@ -37,12 +43,13 @@
     return chosen
 
 
-def play_zones(load, seconds=30.0):
-    """Return the share of calls that cross zones.
+def simulate_zones(load, seconds=30.0):
+    """Simulate calls and return the share of them that cross zones.
 
     Args:
-        load: Calls, for what the own zone's two endpoints carry.
-        seconds: How long the play lasts.
+        load: Rate of calls, as a multiple of the capacity of the two endpoints in
+            the local zone.
+        seconds: Simulated time.
     """
     draw = random.Random(5)
     place = placement.Placement("a", draw)
@@ -51,16 +58,16 @@
         for i, zone in enumerate("aabbcc")
     ]
     latencies = dict(zip("d0 d1 d2 d3 d4 d5".split(), LATENCIES, strict=True))
-    carried = sum(10 / latency for latency in LATENCIES[:2])
+    capacity = sum(10 / latency for latency in LATENCIES[:2])
     inside, ends = collections.Counter(), []
     now, calls, crossed = 0.0, 0, 0
     while now < seconds:
-        now += draw.expovariate(load * carried)
+        now += draw.expovariate(load * capacity)
         while ends and ends[0][0] <= now:
             ended, number, daemon, started = heapq.heappop(ends)
             inside[daemon] -= 1
-            told = messages.Load(in_service=inside[daemon], limit=10)
-            reply = answer(load=told)._replace(attempt=f"x{number}")
+            reported = messages.Load(in_service=inside[daemon], limit=10)
+            reply = answer(load=reported)._replace(attempt=f"x{number}")
             place.observe(daemon, reply, ended - started, ended, REQUEST)
         chosen = place.choose(REQUEST, endpoints, now).endpoint
         place.start(chosen.daemon, now, REQUEST._replace(attempt=f"x{calls}"))
@@ -73,28 +80,28 @@
 
 
 class PlacementTest(unittest.TestCase):
-    def test_spreads_over_equals(self):
+    def test_spreads_over_equal_endpoints(self):
         self.assertGreater(min(run({}, {}).values()), 150)
 
-    def test_slow_endpoint_gets_little(self):
+    def test_slow_endpoint_gets_few_calls(self):
         """One of four endpoints answers ten times slower than its peers.
 
-        With an even spread every fourth page lags.
+        With an even spread every fourth call would be slow.
         """
         self.assertLess(run({"d1": 0.1}, {})["d1"], 20)
 
     def test_quick_errors_attract_no_work(self):
-        """One endpoint fails at once, so it always looks the least busy.
+        """One endpoint fails every call immediately, so it always looks least busy.
 
-        Chosen for that, it would fail most requests.
+        A choice by outstanding work alone would send it most calls, which would fail.
         """
         self.assertLess(run({"d1": 0.0001}, {"d1": 500})["d1"], 20)
 
-    def test_one_failure_among_the_first_answers_is_chance(self):
+    def test_one_failure_among_the_first_answers_sets_none_aside(self):
         """A connection is reset just after the daemons have started.
 
-        Set aside for one lost answer of two, the endpoint of the own zone gets no
-        work for seconds, and all of it crosses zones.
+        If one lost answer of two set the local zone's endpoint aside, it would get no
+        work for seconds, and all calls would cross zones.
         """
         place = placement.Placement("a", random.Random(7))
         own, far = ENDPOINTS[0], ENDPOINTS[1]._replace(zone="b")
@@ -105,9 +112,10 @@
             self.assertEqual(chosen.endpoint, own)
 
     def test_endpoint_that_never_succeeded_is_set_aside_at_once(self):
-        """An endpoint comes up broken and fails whatever it gets, at once.
+        """An endpoint starts broken and fails every call immediately.
 
-        Judged only after four failures, it would cost each daemon that many.
+        If it were set aside only after four failures, each daemon would lose four
+        calls to it.
         """
         place = placement.Placement("a", random.Random(7))
         place.observe("d0", answer(status=500), 0.01, 0.0)
@@ -117,9 +125,10 @@
         self.assertNotIn("d0", chosen)
 
     def test_failures_behind_all_endpoints_set_none_aside(self):
-        """A service deeper down fails, and with it every endpoint of this one.
+        """A nested service fails, and with it every endpoint of this service.
 
-        Half of them set aside, the others would get twice the work for nothing.
+        If half of them were set aside, the others would get twice the work without
+        any benefit.
         """
         place = placement.Placement("a", random.Random(7))
         for endpoint in ENDPOINTS:
@@ -130,22 +139,22 @@
         }
         self.assertEqual(len(chosen), len(ENDPOINTS))
 
-    def test_failures_fade(self):
-        """An endpoint that failed has recovered, and is asked too little to show it."""
+    def test_failures_decay(self):
+        """An endpoint that is set aside gets too few calls to show its recovery."""
         place = placement.Placement("a", random.Random(7))
         for _ in range(20):
             place.observe("d1", answer(status=500), 0.01, 0.0)
-        later = 3.0 * placement.FAILING_SECONDS
+        later = 3.0 * placement.FAILURE_DECAY_SECONDS
         chosen = [
             place.choose(REQUEST, ENDPOINTS[:2], later).endpoint.daemon
             for _ in range(60)
         ]
         self.assertGreater(chosen.count("d1"), 10)
 
-    def test_own_availability_zone_goes_first_while_it_is_as_good(self):
-        """Endpoints of all zones are alike; what crosses zones is slower and dear.
+    def test_local_availability_zone_is_preferred_among_equal_endpoints(self):
+        """Endpoints of all zones are alike, but calls between zones are expensive.
 
-        Spread evenly, three of four answers would cross on a mesh of four zones.
+        With an even spread over four zones, three of four answers would cross zones.
         """
         place = placement.Placement("b", random.Random(7))
         endpoints = [e._replace(zone=z) for e, z in zip(ENDPOINTS, "abcd", strict=True)]
@@ -157,7 +166,7 @@
         away = [place.choose(REQUEST, endpoints, 0.0).endpoint for _ in range(20)]
         self.assertNotIn("d1", {endpoint.daemon for endpoint in away})
 
-    def test_attempt_that_was_given_up_is_no_longer_out(self):
+    def test_withdrawn_attempt_is_no_longer_outstanding(self):
         place = placement.Placement("a", random.Random(7))
         for number in range(50):
             place.start("d1", 0.0, REQUEST._replace(attempt=str(number)))
@@ -165,40 +174,41 @@
         chosen = [place.choose(REQUEST, ENDPOINTS, 0.0).endpoint for _ in range(200)]
         self.assertIn("d1", {endpoint.daemon for endpoint in chosen})
 
-    def test_work_goes_out_when_all_look_bad(self):
-        """Every endpoint fails, for instance because what they share is down.
+    def test_calls_are_sent_when_all_endpoints_look_bad(self):
+        """Every endpoint fails, for instance because a shared dependency is down.
 
-        Were all set aside, callers would be refused after it has come back.
+        If all were set aside, callers would still be refused after its recovery.
         """
         chosen = run({}, dict.fromkeys(("d0", "d1", "d2", "d3"), 500))
         self.assertEqual(sum(chosen.values()), 1000)
 
-    def test_leaving_and_excluded_get_nothing(self):
+    def test_leaving_and_excluded_endpoints_get_no_calls(self):
         place = placement.Placement("a", random.Random(7))
         leaving = ENDPOINTS[0]._replace(leaving=True)
         choice = place.choose(REQUEST, (leaving, ENDPOINTS[1]), 0.0, frozenset({"d1"}))
         self.assertIsNone(choice.endpoint)
 
-    def test_own_zone_carries_what_its_slots_do(self):
-        """Endpoints differ in speed by three, as those of a press do.
+    def test_local_zone_is_used_up_to_its_slots(self):
+        """Endpoints differ in speed by a factor of three.
 
-        Weighed by their latency alone the slow ones of the own zone lose to other
-        zones while their slots stand idle, and bytes between zones are dear.
+        If latency alone decided, the slow endpoints of the local zone would lose
+        calls to other zones while their slots are idle, and traffic between zones is
+        expensive.
         """
-        self.assertLess(play_zones(0.5), 1 / 8)
-        self.assertLess(play_zones(0.7), 1 / 4)
+        self.assertLess(simulate_zones(0.5), 1 / 8)
+        self.assertLess(simulate_zones(0.7), 1 / 4)
 
-    def test_other_zones_help_when_the_own_is_full(self):
-        self.assertGreater(play_zones(2.0), 0.4)
+    def test_other_zones_are_used_when_the_local_zone_is_full(self):
+        self.assertGreater(simulate_zones(2.0), 0.4)
 
-    def test_prefers_own_zone_while_it_has_room(self):
+    def test_prefers_the_local_zone_while_it_has_capacity(self):
         place = placement.Placement("a", random.Random(7))
         far = ENDPOINTS[1]._replace(zone="b")
         for _ in range(20):
             choice = place.choose(REQUEST, (ENDPOINTS[0], far), 0.0)
             self.assertEqual(choice.endpoint.daemon, "d0")
 
-    def test_departed_daemons_are_forgotten(self):
+    def test_records_of_unused_daemons_are_dropped(self):
         place = placement.Placement("a", random.Random(7))
         for index in range(1000):
             place.start(f"x{index}", 0.0)
--- a/whinwinch/placement.py
+++ b/whinwinch/placement.py
@@ -1,18 +1,18 @@
-"""Choice of the endpoint for one attempt, by what was seen of each.
-
-Load patterns: one endpoint slow, one that answers errors quickly, one whose
-load and health endpoints lie, one cold, many entries that choose at once.
-Without this an even spread sends each its share, and a deep request meets the
-slow one almost surely; a choice by least outstanding work alone is drawn to the
-one that fails fastest; a choice of the very best by stale news sends all
-entries to the same one.
-
-Two endpoints of the own availability zone and one of the others are drawn at random,
-and the one that costs least is taken, which avoids the herd. Cost is
-work in hand for the slots, from this daemon's own calls and from the load that
-answers carried. Endpoints whose answers were slow or failed, compared with the
-median of their peers, are set aside: they get a probe now and then, and never more
-than half of the endpoints are set aside, so when all look bad work still goes out.
+"""Choice of the endpoint for one attempt, from the observed state of the endpoints.
+
+Load patterns: one endpoint is slow, one returns errors quickly, one reports wrong
+load and health, one is cold, or many entries choose at the same time. An even
+spread would send each endpoint the same share, and a request that makes many nested
+calls would almost certainly reach the slow one. A choice by least outstanding work
+alone prefers the endpoint that fails fastest. A choice of the single best endpoint by
+stale reports sends the work of all entries to the same one.
+
+Two endpoints of the local availability zone and one of the others are drawn at
+random, and the one with the lowest cost is chosen, which avoids the herd effect. The
+cost is the outstanding work per slot, from this daemon's own calls and from the load
+reported in answers. Endpoints whose answers were slow or failed, compared with the
+median of their peers, are set aside: they only get an occasional probe. At most half
+of the endpoints are set aside, so work is still sent when all of them look bad.
 """
 
 import collections
@@ -21,38 +21,42 @@
 
 from . import messages
 
-# Below twice the median, chance explains the difference, and load evens it out.
+# Multiple of the median slowness above which an endpoint counts as slow. Below twice
+# the median, the difference is within random variation and balanced by the load.
 SLOW_RATIO = 2.0
-# The longest of several answers under way is out for longer than most.
-LONG_OUT_RATIO = 4.0
-# So much more of the work failed than at its peers. Where a service deeper down
-# fails, it fails alike behind all endpoints, and no other choice would help.
-FAILING_SHARE = 0.3
-WORST_SLOW = 2.0
-# One probe in so many choices: it must not show in the 99th percentile.
-PROBE_CHOICES = 500
-PROBE_WEIGHT = 0.5
-FORGET_SECONDS = 20.0
-LATENCY_WEIGHT = 0.2
-# Four failures one after the other set an endpoint aside, a chance loss doesn't.
-# Were the first answers counted for more, one reset among them would keep an endpoint
-# from work for seconds.
-FAILING_WEIGHT = 0.1
-# An endpoint set aside answers hardly any call, so its failures fade by time.
-FAILING_SECONDS = 5.0
-USUAL_WEIGHT = 0.05
-SHORTEST_SECONDS = 1e-6
-MOST_KINDS = 256
-# Answers after which an endpoint counts as known.
-KNOWN_ANSWERS = 5
-# A load report older than this says nothing any more.
-REPORT_SECONDS = 1.0
-# A refusal marks an endpoint as full for about this long.
-FULL_SECONDS = 0.25
-# Another zone costs a round trip more, and bytes between zones are dear: worth it
-# when most slots of the own zone are in use.
-ZONE_COST = 0.75
-DEPARTED_SECONDS = 60.0
+# Multiple of the baseline latency after which an attempt in flight counts as slow.
+# It is higher than `SLOW_RATIO`, since the oldest of several attempts takes longer
+# than most.
+OVERDUE_RATIO = 4.0
+# Excess of an endpoint's share of failures over the median of its peers. Failures of
+# a nested service occur behind all endpoints alike, where no other choice would help.
+MAX_EXTRA_FAILURES = 0.3
+MAX_SLOW_SCORE = 2.0
+# One choice in this many is a probe, too few to affect the 99th percentile.
+CHOICES_PER_PROBE = 500
+RECOVERY_WEIGHT = 0.5
+SLOWNESS_DECAY_SECONDS = 20.0
+SLOWNESS_WEIGHT = 0.2
+# Four failures in a row set an endpoint aside, a single random loss doesn't. With a
+# higher weight for the first answers, one connection reset among them would keep an
+# endpoint from work for seconds.
+FAILURE_WEIGHT = 0.1
+# An endpoint that is set aside answers hardly any calls, so its share of failures
+# decays with time.
+FAILURE_DECAY_SECONDS = 5.0
+BASELINE_WEIGHT = 0.05
+MIN_BASELINE_SECONDS = 1e-6
+MAX_BASELINES = 256
+# Answers of an endpoint from which on it counts towards the medians.
+MIN_ANSWERS = 5
+# Older load reports are ignored.
+MAX_REPORT_AGE_SECONDS = 1.0
+# Time for which a refusal marks an endpoint as full.
+FULL_MARK_SECONDS = 0.25
+# Another zone takes an additional round trip, and traffic between zones is expensive:
+# worth it when most slots of the local zone are in use.
+CROSS_ZONE_COST = 0.75
+UNUSED_RECORD_SECONDS = 60.0
 
 
 class Choice(NamedTuple):
@@ -60,32 +64,54 @@
 
     Attributes:
         endpoint: The endpoint, None when there is none.
-        ground: Why, for the log line.
+        ground: Reason for the choice, for the log line.
     """
 
     endpoint: messages.Endpoint | None
     ground: str
 
 
-class Sent(NamedTuple):
-    """An attempt under way: when it was sent, the usual latency of its call."""
+class SentAttempt(NamedTuple):
+    """An attempt in flight.
+
+    Attributes:
+        time: When it was sent, by the loop's clock in seconds.
+        baseline: Baseline latency of its call in seconds.
+    """
 
     time: float
-    usual: float
+    baseline: float
+
 
+class Medians(NamedTuple):
+    """Lower medians over the endpoints of a service.
 
-class Typical(NamedTuple):
-    """Lower medians over the endpoints of a service: slowness, share failing."""
+    Attributes:
+        slowness: Median of the slowness.
+        failing: Median of the share of answers that failed.
+    """
 
     slowness: float
     failing: float
 
 
-class Record:
-    """What this daemon has seen of one endpoint."""
+class EndpointRecord:
+    """Observed state of one endpoint.
+
+    Attributes:
+        last_used: Time of its latest attempt or answer.
+        outstanding: Number of attempts in flight.
+        slowness: Moving average of its latency, as a multiple of the baseline.
+        slowness_time: Time up to which the slowness has decayed.
+        sent: `SentAttempt` by attempt, the oldest first.
+        answers: Number of answers counted.
+        report: The `messages.Load` that it reported last.
+        report_time: Time of that report.
+        full: Time of its latest refusal.
+    """
 
     def __init__(self, now):
-        self.used = now
+        self.last_used = now
         self.outstanding = 0
         self.slowness = 1.0
         self.slowness_time = now
@@ -96,38 +122,43 @@
         self._has_succeeded = False
         self._failures = 0
         self.report = messages.Load()
-        self.reported = -math.inf
+        self.report_time = -math.inf
         self.full = -math.inf
 
     def wait(self, now):
-        """Return how long the oldest attempt is out, to the usual latency."""
+        """Return the age of the oldest attempt as a multiple of its baseline latency.
+
+        Returns 0 when no attempt is in flight.
+        """
         for sent in self.sent.values():
-            return (now - sent.time) / sent.usual
+            return (now - sent.time) / sent.baseline
         return 0.0
 
     def failing(self, now):
-        """Return the share of answers that failed, faded."""
-        return self._failing * math.exp(-(now - self._failing_time) / FAILING_SECONDS)
+        """Return the moving average of failures, decayed, from 0 to 1."""
+        return self._failing * math.exp(
+            -(now - self._failing_time) / FAILURE_DECAY_SECONDS
+        )
 
-    def note_failing(self, failed, now):
-        """Count an answer that failed or didn't.
+    def record_result(self, failed, now):
+        """Count one answer as a failure or a success.
 
-        One that has never succeeded is set aside after its first failure: it
-        fails fast, so each entry would lose several requests to it before the
-        even count shows that.
+        An endpoint that has never succeeded is set aside after its first failure. It
+        fails fast, so each entry would lose several requests to it before the moving
+        average reaches the limit.
         """
         before = self.failing(now)
-        self._failing = before + FAILING_WEIGHT * (failed - before)
+        self._failing = before + FAILURE_WEIGHT * (failed - before)
         self._failing_time = now
         self._has_succeeded = self._has_succeeded or not failed
         if not self._has_succeeded:
             self._failures += 1
             self._failing = max(self._failing, 1.0 - 0.5**self._failures)
 
-    def forget_slowness(self, now):
-        """Let what was seen of the latency count less as time passes."""
-        kept = math.exp(-(now - self.slowness_time) / FORGET_SECONDS)
-        self.slowness = 1.0 + (self.slowness - 1.0) * kept
+    def decay_slowness(self, now):
+        """Decay the slowness towards 1 by the time since its last decay."""
+        remaining = math.exp(-(now - self.slowness_time) / SLOWNESS_DECAY_SECONDS)
+        self.slowness = 1.0 + (self.slowness - 1.0) * remaining
         self.slowness_time = now
 
 
@@ -136,24 +167,24 @@
 
     Args:
         zone: The availability zone of this daemon.
-        random: A `random.Random`, for the draws.
+        random: A `random.Random` that draws candidates and probes.
     """
 
     def __init__(self, zone, random):
         self._zone = zone
         self._random = random
         self._records = {}
-        self._usual = collections.OrderedDict()
-        self._pruned = -math.inf
+        self._baselines = collections.OrderedDict()
+        self._last_prune = -math.inf
 
     def choose(self, request, endpoints, now, exclude=frozenset()):
         """Choose the endpoint for an attempt.
 
         Args:
             request: The `messages.Request`.
-            endpoints: The endpoints known for its service.
+            endpoints: The known endpoints of its service.
             now: Time of the loop's clock in seconds.
-            exclude: Daemons already tried for this call.
+            exclude: Identifiers of the daemons already tried for this call.
 
         Returns:
             A `Choice`.
@@ -166,32 +197,32 @@
         good, aside = self._split(open_, present, now)
         probe = self._choose_probe(aside)
         if probe is not None:
-            return Choice(probe, "probe of one set aside")
-        drawn = self._draw(good)
+            return Choice(probe, "probe of an endpoint that is set aside")
+        drawn = self._draw_candidates(good)
         costs = [self._cost(endpoint, now) for endpoint in drawn]
         lowest = min(costs)
-        told = ", ".join(f"{cost:.2f}" for cost in costs)
-        ground = f"cost {lowest:.2f} of {told}; {len(aside)} set aside"
+        listed = ", ".join(f"{cost:.2f}" for cost in costs)
+        ground = f"cost {lowest:.2f} of {listed}; {len(aside)} set aside"
         return Choice(drawn[costs.index(lowest)], ground)
 
     def find_usual(self, request):
-        """Return the usual latency of a call in seconds, 0 while none is known."""
-        return self._usual.get(name_kind(request), 0.0)
+        """Return the baseline latency of a call in seconds, 0 before any answer."""
+        return self._baselines.get(name_kind(request), 0.0)
 
     @property
     def known(self):
-        """Daemons whose endpoints this one has lately used."""
+        """Identifiers of the daemons whose endpoints were recently used."""
         return self._records.keys()
 
     def find_set_aside(self, present, now):
-        """Return the daemons whose endpoints are set aside at present.
+        """Return the daemons whose endpoints are currently set aside.
 
         Args:
-            present: The endpoints of one service that don't leave.
+            present: The endpoints of one service that aren't leaving.
             now: Time of the loop's clock in seconds.
         """
-        typical = self._find_typical(present, now)
-        badness = {e.daemon: self._judge(e, typical, now) for e in present}
+        medians = self._find_medians(present, now)
+        badness = {e.daemon: self._score(e, medians, now) for e in present}
         bad = sorted(
             (e.daemon for e in present if badness[e.daemon] > 1.0),
             key=badness.get,
@@ -200,201 +231,210 @@
         return frozenset(bad[: len(present) // 2])
 
     def start(self, daemon_id, now, request=None):
-        """Note that an attempt is sent to a daemon.
+        """Record that an attempt is sent to a daemon.
 
         Args:
             daemon_id: The daemon that it is sent to.
             now: Time of the loop's clock in seconds.
-            request: The request with the identifier of this attempt, so that an
-                answer that stays out shows the endpoint to be slow.
+            request: The request with the identifier of this attempt, so that a
+                missing answer shows the endpoint to be slow.
         """
-        record = self._find(daemon_id, now)
+        record = self._find_record(daemon_id, now)
         record.outstanding += 1
-        usual = self._usual.get(name_kind(request))
-        if request is not None and usual is not None:
-            record.sent[request.attempt] = Sent(now, usual)
+        baseline = self._baselines.get(name_kind(request))
+        if request is not None and baseline is not None:
+            record.sent[request.attempt] = SentAttempt(now, baseline)
 
     def observe(self, daemon_id, answer, latency, now, request=None):
-        """Take the answer of an attempt.
+        """Record the answer to an attempt.
 
         Args:
             daemon_id: The daemon that it was sent to.
-            answer: The `messages.Answer`, made up by the sender if none came.
-            latency: Seconds from the sending to the answer.
+            answer: The `messages.Answer`, created by the sender if none arrived.
+            latency: Seconds between sending the attempt and the answer.
             now: Time of the loop's clock in seconds.
-            request: The request, so that its latency is compared with that of
+            request: The request, so that the latency is compared with that of
                 the same call at other endpoints.
         """
-        record = self._find(daemon_id, now)
+        record = self._find_record(daemon_id, now)
         record.outstanding = max(0, record.outstanding - 1)
         record.sent.pop(answer.attempt, None)
         if answer.load.limit > 0:
             record.report = answer.load
-            record.reported = now
+            record.report_time = now
         if answer.outcome is messages.Outcome.NOT_RUN:
-            self._take_refusal(record, answer, now)
+            self._record_refusal(record, answer, now)
             return
         failed = is_failure(answer)
         record.answers += 1
-        record.note_failing(failed, now)
-        # A quick failure says nothing of how long the work takes: counted, it
-        # would draw more work to the endpoint that fails.
-        slowness = latency / self._note_latency(latency, failed, request)
+        record.record_result(failed, now)
+        # The latency of a fast failure isn't that of the work. If it counted, the
+        # failing endpoint would attract more work.
+        slowness = latency / self._update_baseline(latency, failed, request)
         if not failed or slowness > record.slowness:
-            self._note_slowness(record, slowness, now)
+            self._update_slowness(record, slowness, now)
 
     def withdraw(self, daemon_id, attempt):
-        """Note that nobody waits for an attempt any more."""
+        """Record that the answer to an attempt is no longer awaited."""
         record = self._records.get(daemon_id)
         if record is not None:
             record.outstanding = max(0, record.outstanding - 1)
             record.sent.pop(attempt, None)
 
-    def _note_slowness(self, record, slowness, now):
-        """Count one answer; good news of one set aside counts for more.
+    def _update_slowness(self, record, slowness, now):
+        """Update the slowness of an endpoint with one answer.
 
-        One set aside answers few calls, all of them probes. At the usual weight
-        it would be kept from work long after it has recovered.
+        A fast answer of a slow endpoint has a higher weight: an endpoint that is set
+        aside answers only probes, so with the normal weight it would get no work
+        until long after it has recovered.
         """
-        record.forget_slowness(now)
+        record.decay_slowness(now)
         was_slow = record.slowness > SLOW_RATIO > slowness
-        weight = PROBE_WEIGHT if was_slow else LATENCY_WEIGHT
+        weight = RECOVERY_WEIGHT if was_slow else SLOWNESS_WEIGHT
         weight = max(1.0 / record.answers, weight)
         record.slowness += weight * (slowness - record.slowness)
 
-    def _note_latency(self, latency, failed, request):
-        """Return the usual latency of a call, with one more answer counted.
+    def _update_baseline(self, latency, failed, request):
+        """Update the baseline latency of a call with one answer and return it.
 
-        Slowness is measured against the same call: otherwise an endpoint that
-        happens to have got a long job would be taken for a slow one.
+        Slowness is relative to the same call. Otherwise an endpoint that happened to
+        get a long job would count as slow.
         """
         kind = name_kind(request)
-        usual = self._usual.pop(kind, latency)
+        baseline = self._baselines.pop(kind, latency)
         if not failed:
-            # In proportion, and at most by half, so that one answer of a slow
-            # endpoint doesn't make all others look quick.
-            ratio = min(latency / usual, 2.0) if usual > 0.0 else 1.0
-            usual *= 1.0 + USUAL_WEIGHT * (ratio - 1.0)
-        self._usual[kind] = usual = max(usual, SHORTEST_SECONDS)
-        while len(self._usual) > MOST_KINDS:
-            self._usual.popitem(last=False)
-        return usual
-
-    def _take_refusal(self, record, answer, now):
+            # The ratio is limited to 2 so that one answer of a slow endpoint doesn't
+            # make all other endpoints look fast.
+            ratio = min(latency / baseline, 2.0) if baseline > 0.0 else 1.0
+            baseline *= 1.0 + BASELINE_WEIGHT * (ratio - 1.0)
+        self._baselines[kind] = baseline = max(baseline, MIN_BASELINE_SECONDS)
+        while len(self._baselines) > MAX_BASELINES:
+            self._baselines.popitem(last=False)
+        return baseline
+
+    def _record_refusal(self, record, answer, now):
         if answer.deeper:
             return
         if answer.reason is messages.Reason.NOT_SENT:
             record.answers += 1
-            record.note_failing(True, now)
+            record.record_result(True, now)
             return
         record.full = now
 
-    def _find(self, daemon_id, now):
+    def _find_record(self, daemon_id, now):
         record = self._records.get(daemon_id)
         if record is None:
-            record = self._records[daemon_id] = Record(now)
-        record.used = now
+            record = self._records[daemon_id] = EndpointRecord(now)
+        record.last_used = now
         return record
 
     def _prune(self, now):
-        """Drop records of daemons not used for long, which have departed."""
-        if now - self._pruned < DEPARTED_SECONDS:
+        """Drop the records of daemons that haven't been used for a long time."""
+        if now - self._last_prune < UNUSED_RECORD_SECONDS:
             return
-        self._pruned = now
+        self._last_prune = now
         self._records = {
             daemon: record
             for daemon, record in self._records.items()
-            if record.outstanding or now - record.used < DEPARTED_SECONDS
+            if record.outstanding or now - record.last_used < UNUSED_RECORD_SECONDS
         }
 
     def _split(self, open_, present, now):
-        """Split endpoints into good ones and ones set aside."""
-        aside_names = self.find_set_aside(present, now)
-        if not aside_names:
+        """Return the endpoints to choose from and those that are set aside.
+
+        If only endpoints that are set aside are open, they are returned as good.
+        """
+        set_aside = self.find_set_aside(present, now)
+        if not set_aside:
             return open_, ()
-        good = [e for e in open_ if e.daemon not in aside_names]
-        aside = [e for e in open_ if e.daemon in aside_names]
+        good = [e for e in open_ if e.daemon not in set_aside]
+        aside = [e for e in open_ if e.daemon in set_aside]
         if not good:
             return aside, []
         return good, aside
 
-    def _find_typical(self, endpoints, now):
-        """Return what is usual among the endpoints known."""
+    def _find_medians(self, endpoints, now):
+        """Return the `Medians` of the endpoints with at least `MIN_ANSWERS`."""
         known = [
             record
             for e in endpoints
             if (record := self._records.get(e.daemon)) is not None
-            and record.answers >= KNOWN_ANSWERS
+            and record.answers >= MIN_ANSWERS
         ]
         if not known:
-            return Typical(0.0, 0.0)
+            return Medians(0.0, 0.0)
         middle = (len(known) - 1) // 2
-        return Typical(
+        return Medians(
             sorted([record.slowness for record in known])[middle],
             sorted([record.failing(now) for record in known])[middle],
         )
 
-    def _judge(self, endpoint, typical, now):
-        """Return how bad an endpoint looks; above 1 it may be set aside."""
+    def _score(self, endpoint, medians, now):
+        """Return the badness of an endpoint, which may be set aside above 1."""
         record = self._records.get(endpoint.daemon)
         if record is None:
             return 0.0
-        usual = SLOW_RATIO * typical.slowness
-        slow = record.slowness / usual if usual > 0.0 else 0.0
-        waited = record.wait(now) / LONG_OUT_RATIO
-        # Slow work is done all the same: with several bad ones, the one that
-        # fails most of its work is set aside before the slow ones.
-        late = min(max(slow, waited), WORST_SLOW)
-        return max(late, (record.failing(now) - typical.failing) / FAILING_SHARE)
+        slow_limit = SLOW_RATIO * medians.slowness
+        slow = record.slowness / slow_limit if slow_limit > 0.0 else 0.0
+        waited = record.wait(now) / OVERDUE_RATIO
+        # A slow endpoint still completes its work. The score for slowness is limited
+        # so that an endpoint that fails most of its work is set aside first.
+        late = min(max(slow, waited), MAX_SLOW_SCORE)
+        return max(late, (record.failing(now) - medians.failing) / MAX_EXTRA_FAILURES)
 
     def _choose_probe(self, aside):
-        """Return one set aside that is due for a probe, or None."""
+        """Return an endpoint that is set aside and due for a probe, or None."""
         for endpoint in aside:
             record = self._records[endpoint.daemon]
             if record.outstanding:
                 continue
-            if self._random.random() * PROBE_CHOICES < 1.0:
+            if self._random.random() * CHOICES_PER_PROBE < 1.0:
                 return endpoint
         return None
 
-    def _draw(self, endpoints):
-        """Draw two endpoints of the own zone and one of the rest, or two of those."""
+    def _draw_candidates(self, endpoints):
+        """Draw two endpoints of the local zone and one other, or else two others."""
         near = [e for e in endpoints if e.zone == self._zone]
         far = [e for e in endpoints if e.zone != self._zone]
         if not near:
-            return self._draw_some(far, 2)
-        return self._draw_some(near, 2) + self._draw_some(far, 1)
+            return self._sample(far, 2)
+        return self._sample(near, 2) + self._sample(far, 1)
 
-    def _draw_some(self, endpoints, count):
+    def _sample(self, endpoints, count):
         return self._random.sample(endpoints, min(count, len(endpoints)))
 
     def _cost(self, endpoint, now):
-        """Return the load of an endpoint for its slots, and what adds to it."""
-        cost = 0.0 if endpoint.zone == self._zone else ZONE_COST
+        """Return the cost of an endpoint.
+
+        It is the work per slot, increased by slowness, by a recent refusal and by
+        another availability zone.
+        """
+        cost = 0.0 if endpoint.zone == self._zone else CROSS_ZONE_COST
         record = self._records.get(endpoint.daemon)
         if record is None:
             return cost
         slots = max(1, endpoint.slots)
         busy = record.outstanding
-        if now - record.reported < REPORT_SECONDS:
+        if now - record.report_time < MAX_REPORT_AGE_SECONDS:
             reported = record.report.in_service + record.report.waiting
             busy = max(busy, reported)
             slots = record.report.limit
-        # Slots are claimed, latency is seen: one that claims more slots than it
-        # has looks empty but slow, and the square lets what is seen win.
+        # Slots are reported by the endpoint, latency is measured. An endpoint that
+        # reports more slots than it has looks idle but slow, and the square gives the
+        # measured latency more weight than the report.
         cost += busy / slots * max(record.slowness, 1.0) ** 2
-        if now - record.full < FULL_SECONDS:
+        if now - record.full < FULL_MARK_SECONDS:
             cost += 1.0
         return cost
 
 
 def name_kind(request):
-    """Return what tells calls of different usual latency apart."""
+    """Return the key of a request's baseline latency, None without a request."""
     return (request.service, request.call) if request else None
 
 
 def is_failure(answer):
-    """Return whether an answer shows that the endpoint failed its work."""
+    """Return whether an answer shows that the endpoint itself failed."""
     if answer.deeper:
         return False
     if answer.outcome is messages.Outcome.UNKNOWN:
