--- a/test/test_subsets.py
+++ b/test/test_subsets.py
@@ -1,4 +1,4 @@
-"""Tests of which endpoints of a service a daemon uses."""
+"""Tests of the selection of the endpoints that a daemon uses."""
 
 import collections
 import unittest
@@ -11,7 +11,7 @@
 from whinwinch.subsets import SUBSET_SIZE, Reach
 
 SERVICES = ("catalog", "royalties", "archive", "submissions")
-# Endpoints of each service in six zones, as uneven as those of a large press.
+# Number of endpoints of each service in six zones, as uneven as in a large deployment.
 LARGE = (
     (11, 12, 11, 10, 9, 11),
     (10, 11, 9, 8, 10, 8),
@@ -24,7 +24,7 @@
 
 
 def build_mesh(sizes):
-    """Return the endpoints of services, given their number in each zone."""
+    """Return the endpoints of services from their number by service and zone."""
     return [
         Endpoint(f"10.{s}.{z}.{n}:1", f"10.{s}.{z}.{n}:1", f"s{s}", f"z{z}", "r", 4)
         for s, service in enumerate(sizes)
@@ -33,39 +33,49 @@
     ]
 
 
-def list_used(own, mesh, service, dead=frozenset()):
-    """Return the endpoints of a service that a daemon uses, some out of reach."""
-    known = directory.Directory(own.address)
+def list_used(daemon, mesh, service, unreachable=frozenset()):
+    """Return the addresses of the endpoints of a service that a daemon uses.
+
+    Args:
+        daemon: `Endpoint` of the daemon.
+        mesh: `Endpoint` tuples of all daemons.
+        service: Name of the service.
+        unreachable: Addresses that the daemon can't connect to.
+    """
+    known = directory.Directory(daemon.address)
     for endpoint in mesh:
         known.record(endpoint.address, endpoint)
-    return use(own, known, service, dead)
+    return select_endpoints(daemon, known, service, unreachable)
 
 
-def use(own, known, service, dead=frozenset()):
-    preferred = subsets.Subsets(own.address, own.zone, known).list_preferred(service)
+def select_endpoints(daemon, known, service, unreachable=frozenset()):
+    """Return the addresses that a daemon uses, given its directory."""
+    preferred = subsets.Subsets(daemon.address, daemon.zone, known).list_preferred(
+        service
+    )
 
     def find_reach(address):
-        return Reach.PAUSING if address in dead else Reach.UP
+        return Reach.PAUSING if address in unreachable else Reach.UP
 
     return [e.address for e in subsets.choose_usable(preferred, find_reach).endpoints]
 
 
-def count_callers(mesh, dead=frozenset()):
-    """Return how many daemons use each endpoint, and how many links each has."""
+def count_callers(mesh, unreachable=frozenset()):
+    """Return the number of daemons per endpoint and of links per daemon."""
     callers, links = collections.Counter(), {}
     known = directory.Directory("")
     for endpoint in mesh:
         known.record(endpoint.address, endpoint)
-    for own in mesh:
-        if own.address in dead:
+    for daemon in mesh:
+        if daemon.address in unreachable:
             continue
         used = [
             address
             for service in {e.service for e in mesh}
-            for address in use(own, known, service, dead)
+            for address in select_endpoints(daemon, known, service, unreachable)
         ]
         callers.update(used)
-        links[own.address] = len(used)
+        links[daemon.address] = len(used)
     return callers, links
 
 
@@ -73,8 +83,9 @@
     def test_links_do_not_grow_with_the_daemons(self):
         """Hundreds of daemons call four services.
 
-        Connected with all, each of them would have a link, signs of life and told
-        levels for every other, and the fleet their square.
+        If each connected to all others, each would have a link, heartbeats and
+        reported levels for every other, and their number would grow with the square
+        of the daemons.
         """
         _, links = count_callers(build_mesh(LARGE))
         self.assertEqual(sum(map(sum, LARGE)), len(links))
@@ -89,46 +100,46 @@
             self.assertGreater(min(counts), mean / 2)
             self.assertLess(max(counts), 2 * mean)
 
-    def test_zone_deals_its_daemons_out_evenly(self):
-        near = [Endpoint(f"n{n}", f"n{n}", "s", "z", "r", 4) for n in range(20)]
+    def test_daemons_of_a_zone_are_distributed_evenly(self):
+        local = [Endpoint(f"n{n}", f"n{n}", "s", "z", "r", 4) for n in range(20)]
         callers = collections.Counter()
         for place in range(70):
-            order = subsets.order_endpoints("x", "z", place / 70, near)
-            callers.update(e.address for e in order[: subsets.NEAR_SIZE])
+            order = subsets.order_endpoints("x", "z", place / 70, local)
+            callers.update(e.address for e in order[: subsets.MAX_LOCAL_ENDPOINTS])
         self.assertLessEqual(max(callers.values()) - min(callers.values()), 1)
 
-    def test_zone_that_is_lost_leaves_enough_to_choose_from(self):
+    def test_lost_zone_leaves_full_subsets(self):
         """An availability zone loses power.
 
-        Daemons that used its endpoints need others, or their calls find none.
+        Daemons that used its endpoints need others, or their calls find no endpoint.
         """
         mesh = build_mesh(LARGE)
-        dead = frozenset(e.address for e in mesh if e.zone == "z0")
-        callers, links = count_callers(mesh, dead)
+        unreachable = frozenset(e.address for e in mesh if e.zone == "z0")
+        callers, links = count_callers(mesh, unreachable)
         self.assertEqual(min(links.values()), max(links.values()))
-        self.assertFalse(dead & callers.keys())
+        self.assertFalse(unreachable & callers.keys())
 
-    def test_own_zone_goes_first(self):
+    def test_local_zone_is_preferred(self):
         mesh = build_mesh(LARGE)
-        own = next(e for e in mesh if e.service == "s3")
+        daemon = next(e for e in mesh if e.service == "s3")
         zones = {e.address: e.zone for e in mesh}
-        used = collections.Counter(zones[a] for a in list_used(own, mesh, "s0"))
-        self.assertEqual(used[own.zone], subsets.NEAR_SIZE)
+        used = collections.Counter(zones[a] for a in list_used(daemon, mesh, "s0"))
+        self.assertEqual(used[daemon.zone], subsets.MAX_LOCAL_ENDPOINTS)
 
-    def test_small_service_is_used_whole(self):
+    def test_all_endpoints_of_a_small_service_are_used(self):
         mesh = build_mesh(((2, 2, 2),))
         self.assertEqual(len(list_used(mesh[0], mesh, "s0")), 6)
 
-    def test_endpoint_beside_the_daemon_is_always_used(self):
+    def test_local_backend_server_is_always_used(self):
         mesh = build_mesh(((40,),))
-        for own in mesh:
-            self.assertIn(own.address, list_used(own, mesh, "s0"))
+        for daemon in mesh:
+            self.assertIn(daemon.address, list_used(daemon, mesh, "s0"))
 
-    def test_endpoint_out_of_reach_is_tried_again_and_not_counted(self):
-        """Endpoints are cut off and come back.
+    def test_unreachable_endpoint_is_tried_again_and_not_counted(self):
+        """Endpoints become unreachable and recover.
 
-        Counted while they are away, they would leave nothing to choose from; never
-        tried again, they would stay idle after their return.
+        If they counted while unreachable, a subset could have no usable endpoint; if
+        they were never tried again, they would stay idle after their recovery.
         """
         mesh = build_mesh(((30,),))
         reaches = dict.fromkeys((e.address for e in mesh), Reach.UP)
@@ -138,47 +149,48 @@
         self.assertEqual(list(usable.endpoints), mesh[8:18])
         self.assertEqual(set(usable.wanted), set(mesh[:8]))
 
-    def test_all_out_of_reach_are_tried(self):
+    def test_all_endpoints_are_tried_when_all_are_unreachable(self):
         mesh = build_mesh(((3,),))
         usable = subsets.choose_usable(mesh, lambda address: Reach.DUE)
         self.assertEqual(list(usable.endpoints), mesh)
 
-    def test_second_daemon_of_a_zone_moves_little(self):
-        """A daemon is alone in its zone, and another one comes.
+    def test_second_daemon_of_a_zone_changes_few_connections(self):
+        """A second daemon joins a zone that had only one.
 
-        By its place among two it would start half way round the other zones' endpoints
-        and open nearly all connections anew.
+        If the position among the two decided, the first daemon's start among the
+        other zones' endpoints would move by half, and it would reopen nearly all its
+        connections.
         """
         mesh = build_mesh([[1, 13]])
         self.check_newcomer(mesh, mesh[0])
 
     @settings(max_examples=60, deadline=None)
     @given(SIZES, st.randoms(use_true_random=False))
-    def test_member_that_comes_moves_little(self, sizes, random):
-        """Endpoints come and go all day.
+    def test_new_member_changes_few_connections(self, sizes, random):
+        """Endpoints join and leave all day.
 
-        Were many links moved each time, connections would be opened and closed and
-        what was learnt of endpoints lost.
+        If many links changed each time, connections would be opened and closed, and
+        what daemons had observed of endpoints would be lost.
         """
         mesh = build_mesh(sizes)
         self.check_newcomer(mesh, random.choice(mesh))
 
-    def check_newcomer(self, mesh, own):
-        """Check what a daemon uses before and after one more has come."""
+    def check_newcomer(self, mesh, daemon):
+        """Check the endpoints that a daemon uses before and after one joins."""
         joined = Endpoint("new:1", "new:1", mesh[0].service, mesh[0].zone, "r", 4)
         for service in {e.service for e in mesh}:
-            before = set(list_used(own, mesh, service))
-            after = set(list_used(own, [*mesh, joined], service))
-            # A start moves by one place at most, near and far.
+            before = set(list_used(daemon, mesh, service))
+            after = set(list_used(daemon, [*mesh, joined], service))
+            # A start moves by one place at most, local and remote.
             self.assertLessEqual(len(before - after), 2)
             self.assertLessEqual(len(after - before), 2 + (len(before) < SUBSET_SIZE))
 
     @settings(max_examples=60, deadline=None)
     @given(SIZES)
-    def test_as_many_as_there_are_and_none_twice(self, sizes):
+    def test_subset_is_as_large_as_possible_without_duplicates(self, sizes):
         mesh = build_mesh(sizes)
         for service in {e.service for e in mesh}:
             used = list_used(mesh[0], mesh, service)
-            there = sum(e.service == service for e in mesh)
-            self.assertEqual(len(used), min(there, SUBSET_SIZE))
+            available = sum(e.service == service for e in mesh)
+            self.assertEqual(len(used), min(available, SUBSET_SIZE))
             self.assertEqual(len(set(used)), len(used))
--- a/whinwinch/subsets.py
+++ b/whinwinch/subsets.py
@@ -1,19 +1,20 @@
-"""Which endpoints of a service a daemon uses.
-
-Load pattern: hundreds of daemons call a service of dozens of endpoints. If each uses
-each endpoint, connections, signs of life and all that is told over them grow with the
-square of the daemons, and a daemon meets an endpoint so rarely that it knows nothing
-of it.
-
-So a daemon uses a few endpoints of each service, dealt out without talking. The daemons
-of an availability zone stand in one order, its endpoints in another; the place of a
-daemon in the first tells where it starts in the second, and it uses what follows. Each
-endpoint then gets as many of its zone's daemons as any other, to within one. Some more
-are of the other zones, which a zone leans on when its own are full or lost; there a
-hash tells where to start. One that comes or goes moves a start by one place at most.
-Where one is out of reach the next in the order takes its place.
-
-Daemons that know different members are uneven for a moment, not wrong.
+"""Selection of the endpoints of a service that a daemon uses.
+
+Load pattern: hundreds of daemons call a service of dozens of endpoints. If each daemon
+uses each endpoint, connections, heartbeats and the messages sent over them grow with
+the square of the number of daemons, and a daemon calls an endpoint so rarely that it
+learns nothing about it.
+
+So each daemon uses a subset of the endpoints of a service, which it computes without
+coordination. The daemons of an availability zone are put in one order and its
+endpoints in another. The position of a daemon in the first order determines where its
+subset starts in the second. Each endpoint is then used by as many daemons of its zone
+as any other, to within one. The subset also has some endpoints of the other zones, to
+be used when the local ones are full or lost; a hash determines where these start. A
+daemon or endpoint that joins or leaves moves a start by one place at most. An endpoint
+that is unreachable is replaced by the next one in the order.
+
+While daemons know different members the distribution is uneven, but never wrong.
 """
 
 import enum
@@ -23,14 +24,21 @@
 
 from .messages import Endpoint
 
-# Half may be set aside, and of the rest three are drawn for each call.
+# Half of them may be set aside, and three of the others are drawn for each call.
 SUBSET_SIZE = 12
-# Of these in the own zone, at most.
-NEAR_SIZE = 8
+# Endpoints of a subset that are in the local zone, where other zones have enough.
+MAX_LOCAL_ENDPOINTS = 8
 
 
 class Reach(enum.Enum):
-    """What a daemon knows of its connection with another."""
+    """State of a daemon's connection to another.
+
+    Attributes:
+        UP: It is connected.
+        UNTRIED: No connection has been tried yet.
+        DUE: It was unreachable, and the next try is due.
+        PAUSING: It was unreachable, and the next try isn't due yet.
+    """
 
     UP = "connected"
     UNTRIED = "not yet tried"
@@ -39,11 +47,11 @@
 
 
 class Usable(NamedTuple):
-    """The endpoints of a service that a daemon uses at present.
+    """The endpoints of a service that a daemon currently uses.
 
     Attributes:
-        endpoints: Those to choose from for a call.
-        wanted: Those that the daemon should connect with.
+        endpoints: Endpoints to choose from for a call.
+        wanted: Endpoints that the daemon should connect to.
     """
 
     endpoints: Sequence[Endpoint]
@@ -54,115 +62,128 @@
     """The endpoints of each service in the order in which one daemon prefers them.
 
     Args:
-        own: Address of this daemon.
+        own_address: Address of this daemon.
         zone: Its availability zone.
-        directory: `directory.Directory`.
+        directory: The `directory.Directory` of known endpoints.
     """
 
-    def __init__(self, own, zone, directory):
-        self._own = own
+    def __init__(self, own_address, zone, directory):
+        self._own_address = own_address
         self._zone = zone
         self._directory = directory
-        self._known = None
+        self._members = None
         self._position = 0.0
         self._orders = {}
 
     def list_preferred(self, service):
-        """Return the endpoints of a service, the preferred ones in front."""
+        """Return the endpoints of a service, the preferred ones first."""
         everyone = self._directory.everyone
-        if self._known is not everyone:
-            self._known = everyone
+        if self._members is not everyone:
+            self._members = everyone
             self._orders = {}
-            self._position = find_position(self._own, self._zone, everyone)
+            self._position = find_position(self._own_address, self._zone, everyone)
         order = self._orders.get(service)
         if order is None:
             endpoints = self._directory.find_endpoints(service)
-            order = order_endpoints(self._own, self._zone, self._position, endpoints)
+            order = order_endpoints(
+                self._own_address, self._zone, self._position, endpoints
+            )
             self._orders[service] = order
         return order
 
 
 def choose_usable(preferred, find_reach):
-    """Return the endpoints that a daemon uses at present, and those to connect to.
+    """Return the endpoints that a daemon currently uses and those to connect to.
 
-    The first of its order count, connected or not yet tried. One that was out of reach
-    counts for nothing, so that the next takes its place, and is tried again when due.
+    The subset is the first `SUBSET_SIZE` endpoints that are connected or not yet tried.
+    An unreachable endpoint doesn't count, so that the next one replaces it, and a new
+    connection to it is tried when due.
 
     Args:
         preferred: `Endpoint` tuples in the order in which the daemon prefers them.
-        find_reach: Function from an address to a `Reach`.
+        find_reach: Function that returns the `Reach` of an address.
 
     Returns:
         A `Usable`.
     """
-    found = {reach: [] for reach in Reach}
+    by_reach = {reach: [] for reach in Reach}
     counted = 0
     for endpoint in preferred:
         reach = find_reach(endpoint.address)
-        found[reach].append(endpoint)
+        by_reach[reach].append(endpoint)
         counted += reach in (Reach.UP, Reach.UNTRIED)
         if counted == SUBSET_SIZE:
             break
-    untried, due = found[Reach.UNTRIED], found[Reach.DUE]
-    return Usable(found[Reach.UP] or untried or due, (*untried, *due))
+    untried, due = by_reach[Reach.UNTRIED], by_reach[Reach.DUE]
+    return Usable(by_reach[Reach.UP] or untried or due, (*untried, *due))
 
 
-def find_position(own, zone, everyone):
-    """Return the place of a daemon among those of its zone, from 0 to below 1.
+def find_position(own_address, zone, everyone):
+    """Return the position of a daemon in its zone's order, from 0 to below 1.
 
     Args:
-        own: Its address.
+        own_address: Address of the daemon.
         zone: Its availability zone.
-        everyone: `Endpoint` tuples of all daemons known.
+        everyone: `Endpoint` tuples of all known daemons.
     """
-    weight = _weigh("", own)
+    weight = _hash_address("", own_address)
     weights = {
-        e.address: _weigh("", e.address)
+        e.address: _hash_address("", e.address)
         for e in everyone
-        if e.zone == zone and e.address != own
+        if e.zone == zone and e.address != own_address
     }
     before = sum(other < weight for other in weights.values())
     return before / (len(weights) + 1)
 
 
 def order_endpoints(
-    own: str, zone: str, position: float, endpoints: Sequence[Endpoint]
+    own_address: str, zone: str, position: float, endpoints: Sequence[Endpoint]
 ) -> tuple[Endpoint, ...]:
     """Return endpoints of a service in the order in which a daemon prefers them.
 
     Args:
-        own: Address of the daemon; an endpoint beside it comes first.
+        own_address: Address of the daemon; its local backend server comes first.
         zone: Its availability zone.
-        position: Its place among the daemons of the zone, from 0 to below 1.
+        position: Its position among the daemons of the zone, from 0 to below 1.
         endpoints: All endpoints of the service.
     """
-    beside = [e for e in endpoints if e.address == own]
-    near = _rotate([e for e in endpoints if e.zone == zone], zone, position)
-    near = beside + [e for e in near if e.address != own]
-    # By its place a daemon of a small zone would move far when another one comes.
-    far = _rotate([e for e in endpoints if e.zone != zone], zone, _spread(own))
-    first_far = SUBSET_SIZE - min(len(near), NEAR_SIZE)
+    colocated = [e for e in endpoints if e.address == own_address]
+    local = _rotate([e for e in endpoints if e.zone == zone], zone, position)
+    local = colocated + [e for e in local if e.address != own_address]
+    # A position would change a lot when another daemon joins a small zone, so the start
+    # among the remote endpoints is a hash of the address.
+    remote = _rotate(
+        [e for e in endpoints if e.zone != zone], zone, _hash_fraction(own_address)
+    )
+    remote_count = SUBSET_SIZE - min(len(local), MAX_LOCAL_ENDPOINTS)
     return (
-        *near[:NEAR_SIZE],
-        *far[:first_far],
-        *near[NEAR_SIZE:],
-        *far[first_far:],
+        *local[:MAX_LOCAL_ENDPOINTS],
+        *remote[:remote_count],
+        *local[MAX_LOCAL_ENDPOINTS:],
+        *remote[remote_count:],
     )
 
 
 def _rotate(endpoints, zone, position):
-    """Return endpoints in the zone's order, from the start that a place gives."""
-    ordered = sorted(endpoints, key=lambda e: _weigh(zone, e.address))
+    """Return endpoints in the order of a zone, rotated to start at a position.
+
+    Args:
+        endpoints: `Endpoint` tuples.
+        zone: Salt of the hash that determines the order.
+        position: Start as a share of the order, from 0 to below 1.
+    """
+    ordered = sorted(endpoints, key=lambda e: _hash_address(zone, e.address))
     start = int(position * len(ordered))
     return ordered[start:] + ordered[:start]
 
 
-def _spread(address):
-    """Return a number from 0 to below 1 that an address always has."""
-    digest, _ = _weigh("far", address)
+def _hash_fraction(address):
+    """Return a hash of an address as a number from 0 to below 1."""
+    digest, _ = _hash_address("far", address)
     return int.from_bytes(digest, "big") / 256 ** len(digest)
 
 
-def _weigh(salt, address):
+def _hash_address(salt, address):
+    """Return a sort key for an address: its salted hash, then the address itself."""
     digest = hashlib.blake2b(f"{salt} {address}".encode(), digest_size=8)
     return digest.digest(), address
