--- a/whinwinch/board.py
+++ b/whinwinch/board.py
@@ -1,14 +1,15 @@
-"""Admission levels of routes over all endpoints of their services, as daemons tell.
-
-Load pattern: requests that take a second meet a service that has just become full,
-four hops down. Learnt from answers, the level comes back with requests that were let
-in a second ago; it swings between all and nothing, and most of what is let in fails.
-Told by each daemon, it is at the entry a few tenths of a second later, whether answers
-come or not.
-
-Told by each daemon to each other one, that would be more messages than there are calls.
-So the daemons of a zone tell one of them, the relay, which adds up, tells the relays of
-the other zones its sum, and its own zone the sum of all.
+"""Admission levels of routes over all endpoints of their services, as reported.
+
+Load pattern: requests that take a second reach a service that has just become full,
+four hops downstream. A level learned from answers arrives with the answers to requests
+that were admitted a second ago. It oscillates between admitting all requests and none,
+and most of those admitted fail. A level that each daemon reports itself reaches the
+entries within a few tenths of a second, even when no answers arrive.
+
+If each daemon reported its levels to every other one, there would be more reports than
+calls. So the daemons of an availability zone report to one of them, the relay. It sends
+the sum of their levels to the relays of the other zones, and the sum over all zones to
+the daemons of its own zone.
 """
 
 import math
@@ -17,21 +18,21 @@
 
 from .admission import CLASSES
 
-# Levels are told every tenth of a second; one that missed four of these tellings
-# is no longer believed.
-TOLD_SECONDS = 0.5
-# A share of one in whole numbers, which are short on the way.
-WHOLE = 1000
+# Levels are reported every tenth of a second. A report expires when four of the next
+# ones are missing.
+MAX_REPORT_AGE_SECONDS = 0.5
+# Shed shares are integers in thousandths, which have a short encoding.
+SHARE_SCALE = 1000
 NO_CUTS = (0,) * CLASSES
 
 
 class RouteCut(NamedTuple):
-    """What the endpoints of a route together keep out.
+    """Shares of a route's requests that its endpoints shed.
 
     Attributes:
         route: Name of the route.
-        cuts: For each importance, the lowest first, the share that each endpoint
-            refuses, added up over the endpoints, in thousandths.
+        cuts: For each importance, the lowest first, the sum over the endpoints of the
+            share that each of them sheds, in thousandths.
     """
 
     route: str
@@ -39,104 +40,126 @@
 
 
 class Board:
-    """What one daemon was told of the levels of routes."""
+    """Levels of routes that were reported to one daemon."""
 
     def __init__(self):
-        self._levels = {}
-        self._sums = {}
-        self._total = Told(-math.inf, {})
+        self._daemon_reports = {}
+        self._relay_reports = {}
+        self._total_report = Report(-math.inf, {})
 
     def tell(self, address, levels, now):
-        """Take what the daemon of an address tells of its backend server.
+        """Record the levels that a daemon reports for its local backend server.
 
         Args:
-            address: Its address.
-            levels: Pairs of a route's name and its level, 0 left out.
+            address: Address of the daemon.
+            levels: Pairs of a route's name and its level; levels of 0 are left out.
             now: Time of the loop's clock in seconds.
         """
-        cuts = {route: cut_level(level) for route, level in levels}
-        self._levels[address] = Told(now, cuts)
+        cuts = {route: compute_shed_shares(level) for route, level in levels}
+        self._daemon_reports[address] = Report(now, cuts)
 
     def tell_sum(self, address, cuts, now):
-        """Take the `RouteCut` tuples that a relay tells of its daemons."""
-        self._sums[address] = Told(now, dict(cuts))
+        """Record the sum that the relay of another zone reports for its daemons.
+
+        Args:
+            address: Address of the relay.
+            cuts: `RouteCut` tuples.
+            now: Time of the loop's clock in seconds.
+        """
+        self._relay_reports[address] = Report(now, dict(cuts))
 
     def tell_total(self, cuts, now):
-        """Take the `RouteCut` tuples of all daemons, which the own relay tells."""
-        self._total = Told(now, dict(cuts))
+        """Record the sum over all daemons that the local zone's relay reports.
+
+        Args:
+            cuts: `RouteCut` tuples.
+            now: Time of the loop's clock in seconds.
+        """
+        self._total_report = Report(now, dict(cuts))
 
     def add_up(self, now):
-        """Return the `RouteCut` tuples of the daemons that tell this one."""
-        return _add_cuts(now, self._levels)
+        """Return the `RouteCut` tuples of the daemons that report to this one."""
+        return _sum_reports(now, self._daemon_reports)
 
     def add_up_all(self, now):
-        """Return the `RouteCut` tuples of all daemons, as a relay knows them."""
-        return _add_cuts(now, self._levels, self._sums)
+        """Return the `RouteCut` tuples of all daemons that a relay knows of."""
+        return _sum_reports(now, self._daemon_reports, self._relay_reports)
 
     def level(self, route, endpoints, now):
         """Return the level of a route over the endpoints of a service.
 
         Args:
             route: Name of the route.
-            endpoints: `messages.Endpoint` tuples; one that tells nothing admits
-                everything.
+            endpoints: `messages.Endpoint` tuples; one without a report counts as
+                admitting everything.
             now: Time of the loop's clock in seconds.
         """
-        total = self._total.cuts
-        if now - self._total.time >= TOLD_SECONDS:
+        total = self._total_report.cuts
+        if now - self._total_report.time >= MAX_REPORT_AGE_SECONDS:
             total = dict(self.add_up(now))
-        return combine_cuts(total.get(route, ()), len(endpoints))
+        return combine_shed_shares(total.get(route, ()), len(endpoints))
 
 
-class Told(NamedTuple):
-    """What was told of routes, by route, and when."""
+class Report(NamedTuple):
+    """A report of shed shares.
+
+    Attributes:
+        time: When it arrived, by the loop's clock in seconds.
+        cuts: Shed shares by route, as in `RouteCut`.
+    """
 
     time: float
     cuts: dict
 
 
-def _add_cuts(now, *tables):
-    """Return the `RouteCut` tuples of what was told lately; older is forgotten.
+def _sum_reports(now, *tables):
+    """Return the sum of recent reports as `RouteCut` tuples, and drop older ones.
 
     Args:
         now: Time of the loop's clock in seconds.
-        tables: `Told` by whoever told it.
+        tables: Dictionaries from the address of a sender to its `Report`.
     """
     sums = {}
     for table in tables:
-        _forget_old(table, now)
-        for told in table.values():
-            for route, cuts in told.cuts.items():
+        _drop_outdated(table, now)
+        for report in table.values():
+            for route, cuts in report.cuts.items():
                 before = sums.get(route, NO_CUTS)
                 sums[route] = tuple(map(operator.add, before, cuts))
     return tuple(RouteCut(route, cuts) for route, cuts in sorted(sums.items()))
 
 
-def _forget_old(table, now):
-    old = [key for key, told in table.items() if now - told.time >= TOLD_SECONDS]
-    for key in old:
+def _drop_outdated(table, now):
+    outdated = [
+        key
+        for key, report in table.items()
+        if now - report.time >= MAX_REPORT_AGE_SECONDS
+    ]
+    for key in outdated:
         del table[key]
 
 
-def cut_level(level):
-    """Return the share of each importance that a level refuses, in thousandths."""
+def compute_shed_shares(level):
+    """Return the share of each importance that a level sheds, in thousandths."""
     return tuple(
-        round(WHOLE * min(max(level - index, 0.0), 1.0)) for index in range(CLASSES)
+        round(SHARE_SCALE * min(max(level - index, 0.0), 1.0))
+        for index in range(CLASSES)
     )
 
 
-def combine_cuts(cuts, count):
-    """Return one level that admits about what several endpoints admit together.
+def combine_shed_shares(cuts, count):
+    """Return one level that admits about as much as several endpoints together.
 
-    Counted in the importance that is cut at the highest of them. As a plain mean
-    of 0 and 1.9 all requests of importance 1 would be let in, though one of two
-    endpoints has room for a tenth of its share only.
+    It is computed in the highest importance that any of them sheds. The plain mean of
+    0 and 1.9 would admit all requests of importance 1, although one of two endpoints
+    has capacity for only a tenth of its share of them.
 
     Args:
-        cuts: Thousandths cut of each importance, added up over the endpoints.
-        count: How many endpoints there are, those that cut nothing too.
+        cuts: Sum of the shed shares of each importance over the endpoints, in
+            thousandths.
+        count: Number of endpoints, including those that shed nothing.
     """
     for index in reversed(range(len(cuts))):
         if cuts[index] and count:
-            return index + min(cuts[index] / (WHOLE * count), 1.0)
+            return index + min(cuts[index] / (SHARE_SCALE * count), 1.0)
     return 0.0
