--- a/test/test_loadlines.py
+++ b/test/test_loadlines.py
@@ -1,4 +1,4 @@
-"""Tests of the lines on the load of each second."""
+"""Tests of the log lines with a daemon's load."""
 
 import collections
 import json
@@ -30,7 +30,7 @@
         self.traffic = instance.traffic
         self.meter = loadlines.Meter(instance, 10.0)
 
-    def test_tells_what_happened_since_the_line_before(self):
+    def test_reports_the_load_since_the_previous_line(self):
         refusal = messages.Refusal("browse", messages.Reason.LEVEL)
         self.use = gate.Use(100, 4.0)
         self.forwarder.refused[refusal] = 7
@@ -42,7 +42,7 @@
         second = self.meter.read(13.0)
         self.assertEqual((second.busy, second.ended, second.refused), (4.0, 50, ()))
 
-    def test_bytes_to_other_zones_are_told_by_kind_of_message(self):
+    def test_bytes_to_other_zones_are_reported_by_kind_of_message(self):
         self.traffic.note(frames.Levels, "far:1", 50)
         self.traffic.note(frames.Levels, "near:1", 50)
         self.meter.read(11.0)
@@ -52,19 +52,19 @@
         self.assertEqual(self.meter.read(12.0).sent, sent)
         self.assertEqual(self.meter.read(13.0).sent, ())
 
-    def test_another_backend_server_starts_at_nothing(self):
+    def test_counters_of_another_backend_server_start_at_zero(self):
         self.use = gate.Use(1000, 40.0)
         self.meter.read(11.0)
         self.use = gate.Use(5, 0.5)
         self.assertEqual(self.meter.read(12.0).busy, 0.5)
 
-    def test_rounding_is_not_taken_for_another_backend_server(self):
+    def test_rounding_does_not_look_like_another_backend_server(self):
         self.use = gate.Use(1000, 40.0)
         self.meter.read(11.0)
         self.use = gate.Use(1000, 40.0 - 1e-9)
         self.assertEqual(self.meter.read(12.0).busy, 0.0)
 
-    def test_idle_daemon_writes_nothing(self):
+    def test_idle_daemon_logs_nothing(self):
         reading, writing = os.pipe()
         self.addCleanup(os.close, reading)
         self.addCleanup(os.close, writing)
@@ -78,7 +78,7 @@
 
 
 class UseTest(unittest.TestCase):
-    def test_counts_those_still_inside(self):
+    def test_includes_requests_still_in_service(self):
         guard = gate.Gate(2)
         for name in ("a", "b"):
             request = messages.Request(
--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -13,7 +13,7 @@
 
 
 class TableTest(unittest.TestCase):
-    def test_longest_prefix_of_the_host(self):
+    def test_finds_the_longest_prefix_of_the_host(self):
         table = routes.Table(
             1,
             [
@@ -29,14 +29,14 @@
 
 
 class SharesTest(unittest.TestCase):
-    def test_weights_hold_over_few_requests(self):
-        """A draw at random would be off by a tenth over a hundred requests."""
+    def test_shares_match_the_weights_over_few_requests(self):
+        """With a random choice the shares would be off by a tenth over 100 requests."""
         parts = (routes.Part("a", 90), routes.Part("b", 7), routes.Part("c", 3))
         route, shares = build_route("r", "/", parts), routes.Shares()
         chosen = collections.Counter(shares.choose(route) for _ in range(100))
         self.assertEqual(chosen, {"a": 90, "b": 7, "c": 3})
 
-    def test_change_of_another_route_keeps_the_turn(self):
+    def test_change_of_another_route_keeps_the_rotation(self):
         parts = (routes.Part("a", 1), routes.Part("b", 1))
         route, shares = build_route("r", "/", parts), routes.Shares()
         first = shares.choose(route)
--- a/whinwinch/loadlines.py
+++ b/whinwinch/loadlines.py
@@ -1,8 +1,8 @@
-"""One log line a second on the load of a daemon: its slots, its levels, its refusals.
+"""One log line per second with a daemon's slots, admission levels and refusals.
 
-Lines about single requests are samples under load. These are whole: they tell slots
-that stood idle beside refusals from slots that were full, and slots that were full
-from slots in which jobs took longer than before.
+Log lines about single requests are sampled under load. These are complete. They
+distinguish refusals with idle slots from refusals with full slots, and slots that are
+full because of more requests from slots in which requests take longer than before.
 """
 
 import collections
@@ -16,12 +16,12 @@
 
 
 class RouteLevel(NamedTuple):
-    """Admission levels of a route to the own backend server.
+    """Admission levels of a route to the local backend server.
 
     Attributes:
-        route: Its name.
-        own: Level at the own gatekeeper.
-        below: Highest level that the calls of its requests meet.
+        route: Name of the route.
+        own: Level at this daemon's gatekeeper.
+        below: Highest level that applies to the nested calls of its requests.
     """
 
     route: str
@@ -30,13 +30,13 @@
 
 
 class RefusalCount(NamedTuple):
-    """Refusals of one kind, since the line before or the start.
+    """Number of refusals of one kind, since the previous line or the start.
 
     Attributes:
-        at: "entry" or "gatekeeper".
+        at: Where they were refused, "entry" or "gatekeeper".
         route: Name of the route.
-        reason: Why, as in the lines about single requests.
-        count: How many.
+        reason: Reason, as in the log lines about single requests.
+        count: Number of refusals.
     """
 
     at: str
@@ -46,19 +46,19 @@
 
 
 class Load(NamedTuple):
-    """Event: the load since the line before.
+    """Event: the load since the previous line.
 
     Attributes:
-        service: Service of the own backend server, "" for none.
-        slots: Slots that it announced.
-        limit: Present limit on requests in them.
-        busy: Slots in use on average.
-        waiting: Requests that wait for one at present.
-        ended: Requests that left the backend server.
-        job_seconds: Slot seconds for each of these.
-        levels: `RouteLevel` tuples, routes without a level left out.
+        service: Service of the local backend server, "" for none.
+        slots: Number of slots that it announced.
+        limit: Current limit on the requests in service.
+        busy: Mean number of slots in use.
+        waiting: Number of requests that currently wait for a slot.
+        ended: Number of requests that left the backend server.
+        job_seconds: Mean slot time of these requests in seconds.
+        levels: `RouteLevel` tuples; routes without a level are left out.
         refused: `RefusalCount` tuples.
-        sent: `daemons.traffic.Sent` tuples, what was sent to other daemons.
+        sent: `daemons.traffic.Sent` tuples of the messages sent to other daemons.
     """
 
     service: str
@@ -74,7 +74,7 @@
 
 
 def list_refused(instance):
-    """Yield a `RefusalCount` of each kind since the start of an instance."""
+    """Yield the `RefusalCount` of each kind since the start of an `Instance`."""
     for at, counts in (
         ("entry", instance.forwarder.refused),
         ("gatekeeper", instance.guard.refused),
@@ -84,7 +84,7 @@
 
 
 class Meter:
-    """Tells the load between two looks at an `instance.Instance`.
+    """Measures the load of an `instance.Instance` between two readings.
 
     Args:
         instance: The instance.
@@ -99,23 +99,27 @@
         self._sent = ()
 
     def read(self, now):
-        """Return the `Load` since the last reading."""
+        """Return the `Load` since the previous reading.
+
+        Args:
+            now: Time of the loop's clock in seconds.
+        """
         guard = self._instance.guard
         load, backend = guard.load(), guard.backend
         use = guard.measure_use()
-        # Another backend server's slots count from its own start.
+        # The counters restart from 0 when the backend server is replaced.
         before = self._use if use.ended >= self._use.ended else Use()
-        ended, spent = use.ended - before.ended, use.seconds - before.seconds
+        ended, slot_seconds = use.ended - before.ended, use.seconds - before.seconds
         elapsed = now - self._time
         self._time, self._use = now, use
         return Load(
             backend.service if backend is not None else "",
             backend.slots if backend is not None else 0,
             load.limit,
-            round(spent / elapsed, 2) if elapsed > 0.0 else 0.0,
+            round(slot_seconds / elapsed, 2) if elapsed > 0.0 else 0.0,
             load.waiting,
             ended,
-            round(spent / ended, 4) if ended else 0.0,
+            round(slot_seconds / ended, 4) if ended else 0.0,
             tuple(self._instance.list_route_levels()),
             self._read_refused(),
             self._read_sent(),
@@ -125,18 +129,18 @@
         refused = collections.Counter(
             {count[:-1]: count.count for count in list_refused(self._instance)}
         )
-        more = refused - self._refused
+        increase = refused - self._refused
         self._refused = refused
-        return tuple(RefusalCount(*key, count) for key, count in more.items())
+        return tuple(RefusalCount(*key, count) for key, count in increase.items())
 
     def _read_sent(self):
         sent = self._instance.traffic.list_sent()
-        more = traffic.subtract(sent, self._sent)
+        increase = traffic.subtract(sent, self._sent)
         self._sent = sent
-        return more
+        return increase
 
 
 def write_load(load):
-    """Log a `Load`, unless nothing was going on."""
+    """Log a `Load`, unless no slot was in use and no request refused."""
     if load.busy or load.refused:
         events.write("load", load)
--- a/whinwinch/placement.py
+++ b/whinwinch/placement.py
@@ -207,7 +207,7 @@
 
     def find_usual(self, request):
         """Return the baseline latency of a call in seconds, 0 before any answer."""
-        return self._baselines.get(name_kind(request), 0.0)
+        return self._baselines.get(build_baseline_key(request), 0.0)
 
     @property
     def known(self):
@@ -241,7 +241,7 @@
         """
         record = self._find_record(daemon_id, now)
         record.outstanding += 1
-        baseline = self._baselines.get(name_kind(request))
+        baseline = self._baselines.get(build_baseline_key(request))
         if request is not None and baseline is not None:
             record.sent[request.attempt] = SentAttempt(now, baseline)
 
@@ -300,7 +300,7 @@
         Slowness is relative to the same call. Otherwise an endpoint that happened to
         get a long job would count as slow.
         """
-        kind = name_kind(request)
+        kind = build_baseline_key(request)
         baseline = self._baselines.pop(kind, latency)
         if not failed:
             # The ratio is limited to 2 so that one answer of a slow endpoint doesn't
@@ -428,7 +428,7 @@
         return cost
 
 
-def name_kind(request):
+def build_baseline_key(request):
     """Return the key of a request's baseline latency, None without a request."""
     return (request.service, request.call) if request else None
 
--- a/whinwinch/routes.py
+++ b/whinwinch/routes.py
@@ -1,8 +1,8 @@
 """Choice of the route and of the service for a request.
 
-A route is chosen by host and the longest path prefix. Where it names several
-services they get their shares by smooth weighted round robin: a draw at random
-would be off by a tenth over a few hundred requests.
+A route is chosen by host and longest path prefix. If it leads to several services,
+smooth weighted round robin distributes the requests over them. With a random choice
+the shares would deviate by a tenth over a few hundred requests.
 """
 
 import math
@@ -12,25 +12,30 @@
 
 
 class Part(NamedTuple):
-    """A service that a route leads to, and its weight."""
+    """A service that a route leads to, with its weight.
+
+    Attributes:
+        service: Name of the service.
+        weight: Weight of the service; its share is the weight over the route's sum.
+    """
 
     service: str
     weight: int
 
 
 class Route(NamedTuple):
-    """How requests of one kind are treated.
+    """Configuration of the requests to one host with one path prefix.
 
     Attributes:
-        name: Its name.
-        host: Host that requests name.
-        prefix: Beginning of their path.
-        parts: Services that it leads to.
-        repeatable: Whether a request may run more than once.
+        name: Name of the route.
+        host: Host that requests are addressed to.
+        prefix: Prefix of their path.
+        parts: Weighted services that the route leads to.
+        repeatable: Whether a request may be executed more than once.
         importance: Declared importance.
-        timeout: Longest time that a caller is kept waiting, in seconds.
-        objective: Time within which an answer is worth all, in seconds.
-        most_endpoints: Endpoints that one request may be handed to.
+        timeout: Maximum time until a caller gets an answer, in seconds.
+        objective: Target latency in seconds, after which an answer has less value.
+        most_endpoints: Maximum number of endpoints that one request is sent to.
     """
 
     name: str
@@ -48,8 +53,8 @@
     """Routes of one configuration.
 
     Args:
-        version: Version of the configuration; 0 for none.
-        routes: The `Route` tuples.
+        version: Version of the configuration, or 0 without one.
+        routes: `Route` tuples.
     """
 
     def __init__(self, version=0, routes=()):
@@ -58,8 +63,8 @@
         self._hosts = {}
         for route in self.routes:
             self._hosts.setdefault(route.host, []).append(route)
-        for listed in self._hosts.values():
-            listed.sort(key=lambda route: len(route.prefix), reverse=True)
+        for host_routes in self._hosts.values():
+            host_routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host, path):
         """Return the route of a request, or None.
@@ -75,7 +80,7 @@
 
 
 class Shares:
-    """Smooth weighted round robin over the parts of each route."""
+    """Smooth weighted round robin over the services of each route."""
 
     def __init__(self):
         self._credits = {}
@@ -96,7 +101,7 @@
         return route.parts[index].service
 
     def keep(self, table):
-        """Drop what belongs to no route of a table."""
+        """Drop the state of services that no route of a table leads to any more."""
         parts = {route.parts for route in table.routes}
         self._credits = {
             key: value for key, value in self._credits.items() if key in parts
