--- a/whinwinch/callgraph.py
+++ b/whinwinch/callgraph.py
@@ -34,11 +34,11 @@
 # About 1 % of the observations of a call are deadlines that match by chance. A parent
 # that makes a smaller share of a route's calls than this has little effect.
 MIN_OBSERVATION_SHARE = 0.05
-# A route to the local service is an entry from this many requests that match no
+# A route to the local service becomes an entry after this many requests that match no
 # running request, if they also make up this share of its requests.
 MIN_UNMATCHED = 8
 MIN_UNMATCHED_SHARE = 0.8
-# Requests that can't be calls, from which on their connection counts as a caller's.
+# Number of requests that can't be calls before their connection counts as a caller's.
 MIN_CALLER_REQUESTS = 2
 # Deadlines are sent in whole milliseconds, and a busy event loop reads them late.
 DEADLINE_TOLERANCE_SECONDS = 0.004
@@ -97,7 +97,7 @@
     Attributes:
         route: Name of its route.
         root: Name of the route of its root request.
-        importance: Importance as a number, higher is more important.
+        importance: Its importance; a higher value is more important.
         deadline: When it expires, by the loop's clock in seconds.
         due: When its answer is due, by the loop's clock in seconds.
         is_repeat: Whether it repeats an earlier request.
@@ -447,8 +447,8 @@
     def _find_previous(self, route, connection, now):
         """Return the parent of the call just answered on a connection, or None.
 
-        None also where that parent has ended, has called another route since or has
-        probably made all its calls.
+        Returns None if that parent has ended, has made its latest call to another
+        route or has probably made all its calls.
         """
         parent, answered = self._last_answered.get(connection, (None, 0.0))
         if parent is None or now - answered > MAX_NEXT_CALL_DELAY_SECONDS:
@@ -459,7 +459,7 @@
         return parent if self._find_pattern(run).has_more(run.made) else None
 
     def _find_matching(self, deadline):
-        """Return the runs that have the deadline of a call."""
+        """Return the runs with the same deadline as a call, within the tolerance."""
         middle = _find_bucket(deadline)
         return [
             run
--- a/whinwinch/placement.py
+++ b/whinwinch/placement.py
@@ -31,11 +31,14 @@
 # Excess of an endpoint's share of failures over the median of its peers. Failures of
 # a nested service occur behind all endpoints alike, where no other choice would help.
 MAX_EXTRA_FAILURES = 0.3
+# Upper bound on the badness of an endpoint that is slow but doesn't fail.
 MAX_SLOW_SCORE = 2.0
 # One choice in this many is a probe, too few to affect the 99th percentile.
 CHOICES_PER_PROBE = 500
+# Weight of a fast answer in the slowness of an endpoint that counts as slow.
 RECOVERY_WEIGHT = 0.5
 SLOWNESS_DECAY_SECONDS = 20.0
+# Weight of any other answer in the slowness of its endpoint.
 SLOWNESS_WEIGHT = 0.2
 # Four failures in a row set an endpoint aside, a single random loss doesn't. With a
 # higher weight for the first answers, one connection reset among them would keep an
@@ -47,7 +50,7 @@
 BASELINE_WEIGHT = 0.05
 MIN_BASELINE_SECONDS = 1e-6
 MAX_BASELINES = 256
-# Answers of an endpoint from which on it counts towards the medians.
+# An endpoint with fewer answers doesn't count towards the medians.
 MIN_ANSWERS = 5
 # Older load reports are ignored.
 MAX_REPORT_AGE_SECONDS = 1.0
@@ -215,7 +218,7 @@
         return self._records.keys()
 
     def find_set_aside(self, present, now):
-        """Return the daemons whose endpoints are currently set aside.
+        """Return the identifiers of daemons whose endpoints are currently set aside.
 
         Args:
             present: The endpoints of one service that aren't leaving.
@@ -234,7 +237,7 @@
         """Record that an attempt is sent to a daemon.
 
         Args:
-            daemon_id: The daemon that it is sent to.
+            daemon_id: Identifier of the daemon that it is sent to.
             now: Time of the loop's clock in seconds.
             request: The request with the identifier of this attempt, so that a
                 missing answer shows the endpoint to be slow.
@@ -249,7 +252,7 @@
         """Record the answer to an attempt.
 
         Args:
-            daemon_id: The daemon that it was sent to.
+            daemon_id: Identifier of the daemon that it was sent to.
             answer: The `messages.Answer`, created by the sender if none arrived.
             latency: Seconds between sending the attempt and the answer.
             now: Time of the loop's clock in seconds.
@@ -394,11 +397,11 @@
 
     def _draw_candidates(self, endpoints):
         """Draw two endpoints of the local zone and one other, or else two others."""
-        near = [e for e in endpoints if e.zone == self._zone]
-        far = [e for e in endpoints if e.zone != self._zone]
-        if not near:
-            return self._sample(far, 2)
-        return self._sample(near, 2) + self._sample(far, 1)
+        local = [e for e in endpoints if e.zone == self._zone]
+        remote = [e for e in endpoints if e.zone != self._zone]
+        if not local:
+            return self._sample(remote, 2)
+        return self._sample(local, 2) + self._sample(remote, 1)
 
     def _sample(self, endpoints, count):
         return self._random.sample(endpoints, min(count, len(endpoints)))
