--- a/whinwinch/callgraph.py
+++ b/whinwinch/callgraph.py
@@ -96,7 +96,7 @@
 
     Attributes:
         route: Name of its route.
-        root: Name of the route of its root request.
+        root: Identifier of its root request.
         importance: Its importance; a higher value is more important.
         deadline: When it expires, by the loop's clock in seconds.
         due: When its answer is due, by the loop's clock in seconds.
