--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of one call from its arrival to its answer, with endpoints that fail."""
+"""Tests for the forwarding of one call to endpoints that fail."""
 
 import asyncio
 import random
@@ -16,11 +16,11 @@
 )
 from whinwinch.messages import Answer, Endpoint, Importance, Outcome, Reason
 
-OWN = "own:1"
+LOCAL_ADDRESS = "own:1"
 
 
 class FakePeer:
-    """An endpoint's daemon that answers from a list."""
+    """A peer whose daemon returns scripted answers."""
 
     is_up = True
     reach = subsets.Reach.UP
@@ -44,7 +44,7 @@
 
 
 class FakeGuard:
-    """A guard of a backend server of another service."""
+    """A guard whose backend server belongs to another service."""
 
     def has_room(self, service):
         return False
@@ -59,17 +59,17 @@
 
 class ForwarderTest(unittest.IsolatedAsyncioTestCase):
     def build(self, *scripts):
-        known = directory.Directory(OWN)
+        members = directory.Directory(LOCAL_ADDRESS)
         self.peers = FakePeers()
         for number, answers in enumerate(scripts):
             address = f"peer:{number}"
-            known.record(address, Endpoint(address, address, "s", "z", "", 9))
+            members.record(address, Endpoint(address, address, "s", "z", "", 9))
             self.peers[address] = FakePeer(list(answers))
         self.board = board.Board()
         return forwarding.Forwarder(
-            OWN,
-            known,
-            subsets.Subsets(OWN, "z", known),
+            LOCAL_ADDRESS,
+            members,
+            subsets.Subsets(LOCAL_ADDRESS, "z", members),
             self.peers,
             FakeGuard(),
             placement.Placement("z", random.Random(1)),
@@ -94,17 +94,17 @@
     def calls(self):
         return [call for peer in self.peers.values() for call in peer.calls]
 
-    async def test_full_gatekeeper_is_passed_by(self):
-        """One endpoint is full; asking another one costs no backend server work."""
+    async def test_full_gatekeeper_does_not_count_as_an_endpoint_tried(self):
+        """A full endpoint refuses before its backend server does any work."""
         forwarder = self.build([FULL] * 9, [FULL] * 9, [])
         answer = await forwarder.serve(self.request(), 1)
         self.assertIs(answer.outcome, Outcome.COMPLETED)
         self.assertFalse(any(call.again for call in self.calls))
 
-    async def test_no_more_endpoints_than_the_route_allows(self):
-        """Endpoints turn work down; each that was handed it counts as tried.
+    async def test_request_reaches_at_most_the_endpoints_that_the_route_allows(self):
+        """Backend servers refuse a request; each that was handed it counts as tried.
 
-        Handed to all of them, one request would load the whole service.
+        If the request went to all of them, it would load the whole service.
         """
         forwarder = self.build(*[[SHED]] * 4)
         answer = await forwarder.serve(self.request(), 2)
@@ -113,10 +113,10 @@
         self.assertEqual(len(self.calls), 2)
         self.assertGreater(answer.retry_after, 0.0)
 
-    async def test_refused_caller_comes_back_in_time(self):
-        """The level refuses nearly all, and suggests a pause of seconds.
+    async def test_retry_after_leaves_time_to_meet_the_objective(self):
+        """The level refuses nearly all requests and suggests a delay of seconds.
 
-        An objective of one second is missed by whoever keeps to that.
+        A caller that waited so long would miss its objective of one second.
         """
         forwarder = self.build([])
         now = asyncio.get_running_loop().time()
@@ -126,16 +126,16 @@
         self.assertGreater(answer.retry_after, 0.4)
         self.assertLess(answer.retry_after, 1.0)
 
-    async def test_safe_work_is_repeated_after_a_loss(self):
+    async def test_repeatable_request_is_retried_after_an_unknown_outcome(self):
         forwarder = self.build([BROKEN], [BROKEN], [BROKEN])
         answer = await forwarder.serve(self.request(), 3)
         self.assertIs(answer.outcome, Outcome.UNKNOWN)
         self.assertEqual(len(self.calls), 3)
 
-    async def test_lost_and_then_turned_down_is_not_not_run(self):
-        """A first attempt is lost, a second one is turned down.
+    async def test_lost_attempt_followed_by_a_refused_one_is_unknown(self):
+        """A first attempt is lost, a second one is refused.
 
-        Told "not run", the caller would believe it of a request that may have run.
+        The request may have run, so its caller must not receive "not run".
         """
         for second in (SHED, FULL):
             answer = await self.build([BROKEN], [second], [second]).serve(
@@ -143,35 +143,35 @@
             )
             self.assertIs(answer.outcome, Outcome.UNKNOWN)
 
-    async def test_unsafe_work_is_never_repeated_after_a_loss(self):
-        """A payout's connection breaks; nobody knows whether it was made.
+    async def test_unrepeatable_request_is_never_retried_after_an_unknown_outcome(self):
+        """A connection breaks, and it is unknown whether its payout was made.
 
-        Sent to another endpoint, it may be made twice.
+        A retry at another endpoint could make it twice.
         """
         forwarder = self.build([BROKEN], [BROKEN])
         answer = await forwarder.serve(self.request(repeatable=False), 3)
         self.assertIs(answer.outcome, Outcome.UNKNOWN)
         self.assertEqual(len(self.calls), 1)
 
-    async def test_unsafe_work_that_was_not_run_is_tried_elsewhere(self):
+    async def test_unrepeatable_request_that_was_not_run_is_retried(self):
         forwarder = self.build([SHED], [])
         answer = await forwarder.serve(self.request(repeatable=False), 2)
         self.assertIs(answer.outcome, Outcome.COMPLETED)
 
-    async def test_attempts_have_identifiers_of_their_own(self):
+    async def test_each_attempt_has_its_own_identifier(self):
         forwarder = self.build([FULL], [FULL])
         await forwarder.serve(self.request(), 2)
         attempts = [call.attempt for call in self.calls]
         self.assertEqual(len(attempts), len(set(attempts)))
 
-    async def test_failure_of_the_backend_server_is_logged(self):
-        """A payout fails with 500, and its caller has nothing but its identifier."""
-        written = unittest.mock.Mock(lost=0)
-        events.install(written)
+    async def test_server_error_of_the_backend_server_is_logged(self):
+        """A payout fails with status 500; its caller knows only the identifier."""
+        log = unittest.mock.Mock(lost=0)
+        events.install(log)
         self.addCleanup(events.install, events.Silence())
         answer = await self.build([FAILED]).serve(self.request(), 2)
         self.assertEqual(answer.status, 500)
-        ((kind, line),) = [call.args for call in written.sample.call_args_list]
+        ((kind, line),) = [call.args for call in log.sample.call_args_list]
         self.assertEqual(
             (kind, line.endpoint, line.status), ("answered", "peer:0", 500)
         )
@@ -182,10 +182,10 @@
         self.assertEqual(answer.reason, Reason.NO_ENDPOINT)
         self.assertGreater(answer.retry_after, 0.0)
 
-    async def test_level_told_refuses_at_the_entry(self):
-        """A service four hops down is full, and the entries have been told.
+    async def test_reported_level_refuses_at_the_entry(self):
+        """A service four hops down is full, and entries have received its level.
 
-        Let in, the request would be worked on by four services and then fail.
+        If the request were admitted, four services would work on it in vain.
         """
         forwarder = self.build([])
         now = asyncio.get_running_loop().time()
@@ -195,8 +195,8 @@
         self.assertGreater(answer.retry_after, 0.0)
         self.assertEqual(self.calls, [])
 
-    async def test_call_of_an_admitted_request_is_carried_through(self):
-        """Refused half way, all that was done for its request would be lost."""
+    async def test_nested_call_of_an_admitted_request_is_not_refused_by_level(self):
+        """A refusal would waste all work already done for its request."""
         forwarder = self.build([])
         now = asyncio.get_running_loop().time()
         self.board.tell("peer:0", (("c", 4.0),), now)
--- a/test/test_router.py
+++ b/test/test_router.py
@@ -1,4 +1,4 @@
-"""Tests for the routing of one call, with endpoints that are functions."""
+"""Tests for the routing of one call to scripted endpoints."""
 
 import asyncio
 import random
@@ -47,7 +47,7 @@
 
 
 class Mesh:
-    """Endpoints that answer from a script, and what they were sent."""
+    """Endpoints that return scripted answers, and the requests sent to them."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -107,13 +107,13 @@
         incoming = router.Incoming("root-1", "catalog", method, path, **fields)
         return await routing.route_root(incoming)
 
-    async def test_a_whole_answer_without_retries(self):
+    async def test_completed_call_causes_no_retries(self):
         routed = await self.route(self.build(complete))
         self.assertEqual(Outcome.COMPLETED, routed.answer.outcome)
         self.assertEqual(0, routed.retries)
         self.assertEqual("root-1", self.mesh.sent[0][1].root)
 
-    async def test_a_refusal_of_one_endpoint_is_retried_at_another(self):
+    async def test_refusal_by_one_endpoint_is_retried_at_another(self):
         routed = await self.route(self.build(refuse(Reason.LEAVING), complete))
         self.assertEqual(Outcome.COMPLETED, routed.answer.outcome)
         self.assertEqual(1, routed.retries)
@@ -121,40 +121,40 @@
         self.assertNotEqual(first[0], second[0])
         self.assertNotEqual(first[1].attempt, second[1].attempt)
 
-    async def test_an_address_taken_over_by_another_daemon_is_tried_elsewhere(self):
-        """An instance was replaced, and peers still know its predecessor.
+    async def test_address_reused_by_another_daemon_causes_a_retry_elsewhere(self):
+        """An instance was replaced, and peers still list its predecessor.
 
-        Whoever answers at the address now guards nothing, or another service.
-        The caller was told "no-endpoint" although three others were there.
+        The daemon that now answers at the address guards no backend server, or one
+        of another service. Without a retry the caller would receive "no-endpoint"
+        although three other endpoints are available.
         """
         routed = await self.route(self.build(refuse(Reason.NO_ENDPOINT), complete))
         self.assertEqual(Outcome.COMPLETED, routed.answer.outcome)
 
     async def test_retries_stay_within_the_budget(self):
-        """Every endpoint refuses, again and again.
+        """Every endpoint refuses every attempt.
 
-        Without the bound one request would go on until its deadline, and many
-        would keep the overload up after its cause has gone.
+        Without a budget a request would be retried until its deadline, and many such
+        requests would sustain the overload after its cause has gone.
         """
         routed = await self.route(self.build(refuse(Reason.QUEUE)))
         self.assertEqual(Outcome.NOT_RUN, routed.answer.outcome)
         self.assertLessEqual(len(self.mesh.sent), 1 + RETRY_BUDGET)
         self.assertLessEqual(routed.retries, RETRY_BUDGET)
 
-    async def test_a_refusal_from_deeper_is_passed_up(self):
-        """A service two hops down is full, and says so through the hop between.
+    async def test_refusal_from_further_down_the_call_graph_is_not_retried(self):
+        """A service two hops down refuses, and the hop in between reports this.
 
-        The hop just above it has retried already; a retry here too would
-        multiply by the depth.
+        The hop directly above it has already retried. Retries at every hop would
+        multiply with the depth of the call graph.
         """
         await self.route(self.build(refuse(Reason.LEVEL, deeper=True)))
         self.assertEqual(1, len(self.mesh.sent))
 
-    async def test_an_unknown_payout_is_not_sent_again(self):
-        """A gatekeeper is killed after it was sent a payout.
+    async def test_payout_with_unknown_outcome_is_not_retried(self):
+        """A gatekeeper is killed after it received a payout.
 
-        Nobody knows whether the poet has been paid; a second attempt might pay
-        again.
+        It is unknown whether the recipient was paid; a retry could pay twice.
         """
         key = claims.make_key(WALL, 1)
         with unittest.mock.patch("time.time", lambda: WALL):
@@ -162,17 +162,17 @@
         self.assertEqual(Outcome.UNKNOWN, routed.answer.outcome)
         self.assertEqual(1, len(self.mesh.sent))
 
-    async def test_a_lost_attempt_and_a_refused_one_are_not_told_as_not_run(self):
+    async def test_lost_attempt_followed_by_a_refused_one_is_unknown(self):
         """A connection breaks after a read was sent; the next endpoint is full.
 
-        "Not run" is true of the second attempt only. The caller would take it for
-        its request, of which the first attempt may have run.
+        "Not run" is true of the second attempt only. The caller would apply it to
+        its whole request, of which the first attempt may have run.
         """
         routed = await self.route(self.build(lose, refuse(Reason.QUEUE)))
         self.assertGreater(len(self.mesh.sent), 1)
         self.assertEqual(Outcome.UNKNOWN, routed.answer.outcome)
 
-    async def test_no_endpoint_after_a_lost_attempt_is_unknown(self):
+    async def test_lost_attempt_followed_by_no_endpoint_is_unknown(self):
         routing = self.build(lose)
         endpoints = iter((self.mesh.find_endpoints("catalog"), ()))
         routing._places = routing._places._replace(
@@ -181,25 +181,25 @@
         routed = await self.route(routing)
         self.assertEqual(Outcome.UNKNOWN, routed.answer.outcome)
 
-    async def test_an_undeclared_post_is_not_sent_again_after_unknown(self):
+    async def test_undeclared_post_with_unknown_outcome_is_not_retried(self):
         await self.route(self.build(lose), "POST", "/orders")
         self.assertEqual(1, len(self.mesh.sent))
 
-    async def test_a_read_of_unknown_outcome_is_sent_again(self):
+    async def test_read_with_unknown_outcome_is_retried(self):
         routed = await self.route(self.build(lose, complete))
         self.assertEqual(Outcome.COMPLETED, routed.answer.outcome)
 
-    async def test_a_payout_without_a_key_is_refused_before_it_is_sent(self):
+    async def test_payout_without_a_key_is_refused_before_it_is_sent(self):
         routed = await self.route(self.build(complete), "POST", "/payouts")
         self.assertEqual(Reason.KEY_MISSING, routed.answer.reason)
         self.assertEqual(Outcome.NOT_RUN, routed.answer.outcome)
         self.assertFalse(self.mesh.sent)
 
-    async def test_a_key_that_is_too_old_is_unknown_not_refused_as_not_run(self):
-        """A caller asks again with its key after more than the window.
+    async def test_key_that_is_too_old_has_an_unknown_outcome(self):
+        """A caller retries with its key after the key window has passed.
 
-        The payout may have run when the key was good. Told "not run", the
-        caller would make a new key and have the poet paid twice.
+        The payout may have run while the key was valid. After "not run" the caller
+        would create a new key, and the recipient would be paid twice.
         """
         key = claims.make_key(WALL - 1000.0, 1)
         with unittest.mock.patch("time.time", lambda: WALL):
@@ -208,22 +208,22 @@
         self.assertEqual(Reason.KEY_AGE, routed.answer.reason)
         self.assertFalse(self.mesh.sent)
 
-    async def test_a_caller_cannot_raise_the_declared_importance(self):
+    async def test_caller_cannot_raise_the_declared_importance(self):
         await self.route(self.build(complete), importance=Importance.CRITICAL)
         self.assertEqual(Importance.NORMAL, self.mesh.sent[0][1].importance)
 
-    async def test_a_service_that_nobody_serves(self):
+    async def test_service_without_endpoints_is_refused_with_retry_after(self):
         routed = await self.build(complete).route_root(
             router.Incoming("root-1", "nowhere", "GET", "/")
         )
         self.assertEqual(Reason.NO_ENDPOINT, routed.answer.reason)
         self.assertGreater(routed.answer.retry_after, 0.0)
 
-    async def test_a_level_learnt_from_answers_refuses_at_the_entry(self):
-        """A service further down sheds everything below critical importance.
+    async def test_level_learnt_from_answers_refuses_at_the_entry(self):
+        """A service further down sheds all requests below critical importance.
 
-        Without the level each request would be worked on by all hops above the
-        one that refuses it.
+        Without the level, all hops above the refusing one would work on each request
+        in vain.
         """
         routing = self.build(complete)
         for _ in range(20):
@@ -232,9 +232,9 @@
         self.assertEqual(Reason.LEVEL, routed.answer.reason)
         self.assertFalse(self.mesh.sent)
 
-    async def test_a_nested_call_carries_on_what_the_backend_server_forgets(self):
+    async def test_nested_call_inherits_the_properties_of_its_parent(self):
         routing = self.build(complete)
-        holder = messages.Request(
+        parent = messages.Request(
             "attempt-1",
             "root-9",
             "royalties",
@@ -247,9 +247,9 @@
             caller="press",
             via=("archive",),
         )
-        self.ledger.open(holder.attempt, holder.budget, holder.deadline)
+        self.ledger.open(parent.attempt, parent.budget, parent.deadline)
         await routing.route_nested(
-            router.Incoming("attempt-1", "catalog", "GET", "/books"), holder
+            router.Incoming("attempt-1", "catalog", "GET", "/books"), parent
         )
         sent = self.mesh.sent[0][1]
         self.assertEqual("root-9", sent.root)
@@ -259,11 +259,11 @@
         self.assertEqual("press", sent.caller)
         self.assertGreater(sent.budget, 0)
 
-    async def test_a_caller_that_hangs_up_leaves_nothing_behind(self):
-        """Readers close their pages while the answer is under way.
+    async def test_cancelled_call_closes_its_budget(self):
+        """Callers disconnect while their requests are in flight.
 
-        What stays noted for each of them would fill the memory, and its endpoint
-        would seem busier with each page closed.
+        Budgets that stayed open would fill the memory, and the endpoint would seem
+        busier with each disconnected caller.
         """
         routing = self.build(complete)
         hanging = asyncio.Event()
@@ -282,13 +282,13 @@
         self.assertEqual(0, self.ledger.get_remaining(attempt))
         self.assertTrue(routing._ledger._holdings[attempt].closed)
 
-    async def test_a_loop_of_services_ends(self):
-        """Two services call each other without end.
+    async def test_call_loop_is_ended(self):
+        """Two services call each other in an endless loop.
 
-        Only the deadline would stop them, with thousands of calls in between.
+        Without the limit only the deadline would end it, after thousands of calls.
         """
         routing = self.build(complete)
-        holder = messages.Request(
+        parent = messages.Request(
             "attempt-1",
             "root-9",
             "catalog",
@@ -297,10 +297,10 @@
             "/",
             Importance.NORMAL,
             NOW + 5.0,
-            via=("catalog",) * router.DEEPEST_PATH,
+            via=("catalog",) * router.MAX_CALL_DEPTH,
         )
         routed = await routing.route_nested(
-            router.Incoming("attempt-1", "catalog", "GET", "/"), holder
+            router.Incoming("attempt-1", "catalog", "GET", "/"), parent
         )
         self.assertEqual(Reason.TOO_DEEP, routed.answer.reason)
         self.assertFalse(self.mesh.sent)
--- a/whinwinch/decisions.py
+++ b/whinwinch/decisions.py
@@ -1,4 +1,4 @@
-"""Log lines of routing and placement decisions, one for each."""
+"""Logging of routing and placement decisions, one line for each decision."""
 
 from typing import NamedTuple
 
@@ -22,7 +22,7 @@
 
 
 class Refused(NamedTuple):
-    """A request was refused without having been run."""
+    """A request was refused and has not run."""
 
     root: str
     attempt: str
@@ -36,7 +36,7 @@
 
 
 class Answered(NamedTuple):
-    """An attempt was answered, and what follows from it."""
+    """An attempt was answered, with the decision on whether it is retried."""
 
     root: str
     attempt: str
@@ -51,7 +51,7 @@
 
 
 class Claimed(NamedTuple):
-    """The log has decided who runs a piece of non-idempotent work."""
+    """The log has decided whether an attempt may run non-idempotent work."""
 
     root: str
     attempt: str
@@ -60,14 +60,21 @@
 
 
 def log_decision(decision):
-    """Log a decision as one line: its kind, then its fields."""
+    """Log a decision as one line: its kind, followed by its fields."""
     events.sample(type(decision).__name__.lower(), decision)
     if logging.get_verbosity() >= logging.INFO:
         logging.info("%s", format_decision(decision))
 
 
 def log_refusal(request, reason, retry_after, at):
-    """Log that a `messages.Request` is refused, at the entry or a gatekeeper."""
+    """Log that a request is refused.
+
+    Args:
+        request: The `messages.Request`.
+        reason: `messages.Reason` of the refusal.
+        retry_after: Seconds after which the caller may retry.
+        at: Where it is refused: "entry" or "gatekeeper".
+    """
     log_decision(
         Refused(
             request.root,
@@ -83,16 +90,16 @@
     )
 
 
-def log_answer(attempt, answer, endpoint, left, again, ground):
-    """Log what follows from an answer that isn't whole.
+def log_answer(attempt, answer, endpoint, time_left, again, ground):
+    """Log an answer other than a success, and whether the request is retried.
 
     Args:
         attempt: The `messages.Request` that was sent.
         answer: Its `messages.Answer`.
         endpoint: The `messages.Endpoint` that it was sent to.
-        left: Seconds until the deadline.
-        again: Whether it is tried again.
-        ground: Why, or why not.
+        time_left: Seconds until the deadline.
+        again: Whether the request is retried.
+        ground: Reason why it is retried or not.
     """
     log_decision(
         Answered(
@@ -103,7 +110,7 @@
             answer.outcome.value,
             answer.reason.value,
             answer.status,
-            left,
+            time_left,
             again,
             ground,
         )
@@ -111,10 +118,10 @@
 
 
 def format_decision(decision):
-    """Return the line for a decision.
+    """Return the log line of a decision.
 
-    Values are quoted where they hold a space, a quote or a line break: a
-    caller's text must not be able to forge a second line.
+    Values that contain a space, a quote or a line break are quoted, so that text
+    supplied by a caller cannot forge a second line.
     """
     kind = type(decision).__name__.lower()
     pairs = (
@@ -127,6 +134,6 @@
     if isinstance(value, float):
         return f"{value:.6f}"
     text = str(value)
-    if text.isprintable() and not any(mark in text for mark in ' "='):
+    if text.isprintable() and not any(character in text for character in ' "='):
         return text
     return ascii(text)
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -1,7 +1,7 @@
-"""One call from its arrival at a daemon to its answer.
+"""Forwarding of one call, from its arrival at a daemon to its answer.
 
-Level, endpoint, attempt, whether to try again: the decisions stand in modules of
-their own; here they are put in order.
+The decisions on the admission level, the endpoint and retries are made by modules of
+their own; this one calls them in order.
 """
 
 import asyncio
@@ -13,27 +13,33 @@
 from .messages import Outcome, Reason, Refusal, build_failure
 from .placement import Choice
 
-# When a caller may come back that found no endpoint at all: a heartbeat brings
-# one back within a second or two.
-ABSENT_RETRY_AFTER = 0.5
+# Seconds after which a caller may retry when its service has no endpoint: within one
+# or two seconds a heartbeat makes one available again.
+NO_ENDPOINT_RETRY_AFTER = 0.5
 
 
 class Forwarder:
-    """Sends calls to the endpoints of their services.
+    """Forwards calls to the endpoints of their services.
 
     Args:
-        own: Address of this daemon.
+        local_address: Address of this daemon.
         directory: `directory.Directory`.
         preferences: `subsets.Subsets`.
         peers: `daemons.links.Peers`.
-        guard: `backends.guard.Guard` of the own backend server.
+        guard: `backends.guard.Guard` of the local backend server.
         placement: `placement.Placement`.
         board: `board.Board`.
+
+    Attributes:
+        refused: Number of refusals by `messages.Refusal`.
+        repeated: Number of retries by route.
     """
 
-    def __init__(self, own, directory, preferences, peers, guard, placement, board):
+    def __init__(
+        self, local_address, directory, preferences, peers, guard, placement, board
+    ):
         self._loop = asyncio.get_running_loop()
-        self._own = own
+        self._local_address = local_address
         self._directory = directory
         self._preferences = preferences
         self._peers = peers
@@ -43,24 +49,27 @@
         self.refused = collections.Counter()
         self.repeated = collections.Counter()
 
-    async def serve(self, request, most_endpoints):
-        """Serve a request and return its answer.
+    async def serve(self, request, max_endpoints):
+        """Forward a request, with retries, and return its answer.
 
         Args:
             request: `messages.Request`.
-            most_endpoints: Endpoints that it may be handed to, at most.
+            max_endpoints: Maximum number of endpoints whose backend servers may be
+                handed the request.
         """
         tried, offered, tries, may_have_run = set(), 0, 0, False
         while True:
-            # A call from inside belongs to a request that was let in: refused
-            # here, all that has been done for it would be lost.
+            # A nested call belongs to a request that was already admitted. Refusing
+            # it here would waste all work done for that request.
             refused = None if request.via else self._refuse_by_level(request)
             if refused is not None:
-                return self._settle(request, refused, may_have_run)
-            choice = self._choose(request, tried)
+                return self._finalize(request, refused, may_have_run)
+            choice = self._choose_endpoint(request, tried)
             if choice.endpoint is None:
-                absent = self._refuse(request, Reason.NO_ENDPOINT, ABSENT_RETRY_AFTER)
-                return self._settle(request, absent, may_have_run)
+                no_endpoint = self._refuse(
+                    request, Reason.NO_ENDPOINT, NO_ENDPOINT_RETRY_AFTER
+                )
+                return self._finalize(request, no_endpoint, may_have_run)
             address = choice.endpoint.address
             tried.add(address)
             attempt = request._replace(
@@ -71,32 +80,32 @@
             offered += answer.offered or answer.outcome is Outcome.UNKNOWN
             tries += 1
             if answer.outcome is Outcome.COMPLETED:
-                self._log_failure(attempt, answer, choice.endpoint)
+                self._log_server_error(attempt, answer, choice.endpoint)
                 return answer
-            open_endpoints = self._count_open(request.service, tried)
-            remaining = min(open_endpoints, most_endpoints - offered)
+            untried = self._count_untried(request.service, tried)
+            remaining = min(untried, max_endpoints - offered)
             decision = retries.decide_retry(
                 attempt, answer, remaining, tries - 1, self._loop.time(), random.random
             )
-            left = attempt.deadline - self._loop.time()
+            time_left = attempt.deadline - self._loop.time()
             decisions.log_answer(
                 attempt,
                 answer,
                 choice.endpoint,
-                left,
+                time_left,
                 decision.again,
                 decision.ground,
             )
             if not decision.again:
-                return self._settle(request, answer, may_have_run)
+                return self._finalize(request, answer, may_have_run)
             self.repeated[request.call] += 1
             if decision.delay:
                 await asyncio.sleep(decision.delay)
 
     def list_set_aside(self):
-        """Return the addresses of endpoints that are set aside at present."""
-        known = self._placement.known
-        services = {e.service for e in self._directory.everyone if e.daemon in known}
+        """Return the addresses of the endpoints that are set aside at present."""
+        observed = self._placement.known
+        services = {e.service for e in self._directory.everyone if e.daemon in observed}
         now = self._loop.time()
         return sorted(
             address
@@ -106,41 +115,46 @@
             )
         )
 
-    def _settle(self, request, answer, may_have_run):
-        """Return the answer to give; a refusal says when to come back."""
-        settled = retries.settle_answer(answer, may_have_run)
-        if settled.outcome is not Outcome.NOT_RUN or request.via:
-            return settled
-        usual = self._placement.find_usual(request)
-        room = request.due - self._loop.time() - usual
-        pause = hints.fit_retry_after(settled.retry_after, room, settled.attempt)
-        return settled._replace(retry_after=pause)
-
-    def _log_failure(self, attempt, answer, endpoint):
-        """Log a failure of the backend server, which is passed on as it is.
-
-        Its caller knows the identifier only; without this line nothing would tell
-        which endpoint had failed it.
+    def _finalize(self, request, answer, may_have_run):
+        """Return the final answer; a refusal names the delay before a retry."""
+        final = retries.finalize_answer(answer, may_have_run)
+        if final.outcome is not Outcome.NOT_RUN or request.via:
+            return final
+        baseline_latency = self._placement.find_usual(request)
+        max_delay = request.due - self._loop.time() - baseline_latency
+        delay = hints.fit_retry_after(final.retry_after, max_delay, final.attempt)
+        return final._replace(retry_after=delay)
+
+    def _log_server_error(self, attempt, answer, endpoint):
+        """Log a server error of the backend server, which is returned unchanged.
+
+        The caller knows only the identifier of its request; without this line the
+        failing endpoint could not be found.
         """
         if not answer.is_server_error:
             return
-        left = attempt.deadline - self._loop.time()
-        ground = "the backend server failed it"
-        decisions.log_answer(attempt, answer, endpoint, left, False, ground)
+        time_left = attempt.deadline - self._loop.time()
+        ground = "the backend server returned an error"
+        decisions.log_answer(attempt, answer, endpoint, time_left, False, ground)
+
+    def _choose_endpoint(self, request, tried):
+        """Choose an endpoint; the local one while it has a free slot, to save a hop.
 
-    def _choose(self, request, tried):
-        """Choose an endpoint; the own one while it has room, to save a hop."""
-        own = self._own
+        Args:
+            request: The `messages.Request`.
+            tried: Addresses of the endpoints that were already tried.
+        """
+        local_address = self._local_address
         endpoints = self._find_usable(request.service)
-        if own not in tried and self._guard.has_room(request.service):
+        if local_address not in tried and self._guard.has_room(request.service):
             for endpoint in endpoints:
-                if endpoint.address == own:
-                    return Choice(endpoint, "own endpoint has room")
+                if endpoint.address == local_address:
+                    return Choice(endpoint, "local endpoint has a free slot")
         now = self._loop.time()
         return self._placement.choose(request, endpoints, now, tried)
 
     def _find_usable(self, service):
-        """Return the endpoints to choose from, whose daemons can be reached."""
+        """Return the endpoints of a service whose daemons can be reached."""
         preferred = self._preferences.list_preferred(service)
         usable = subsets.choose_usable(preferred, self._find_reach)
         for endpoint in usable.wanted:
@@ -148,11 +162,11 @@
         return usable.endpoints
 
     def _find_reach(self, address):
-        if address == self._own:
+        if address == self._local_address:
             return subsets.Reach.UP
         return self._peers.find(address).reach
 
-    def _count_open(self, service, tried):
+    def _count_untried(self, service, tried):
         usable = self._find_usable(service)
         return sum(endpoint.address not in tried for endpoint in usable)
 
@@ -167,7 +181,7 @@
         return answer._replace(load=messages.Load(below=level))
 
     async def _send(self, attempt, choice):
-        return await sending.send_watched(
+        return await sending.send_and_observe(
             self._placement,
             choice.endpoint,
             attempt,
@@ -176,7 +190,7 @@
         )
 
     async def _serve_or_call(self, endpoint, attempt):
-        if endpoint.address == self._own:
+        if endpoint.address == self._local_address:
             return await self._guard.serve(attempt)
         return await self._peers.find(endpoint.address).call(attempt)
 
--- a/whinwinch/retries.py
+++ b/whinwinch/retries.py
@@ -1,18 +1,17 @@
-"""Retry budget, back-off and the cases in which a request is never retried.
+"""Retry budget, backoff, and the rules for when a request is retried.
 
-Load pattern: a service deep in the graph slows down or refuses, and each hop
-above it would try again. Without a common budget three tries at each of five
-hops make 243 calls at the bottom, and the overload feeds itself long after
-its cause has gone.
+Load pattern: a service deep in the call graph slows down or refuses requests, and
+each hop above it would retry. Without a shared budget, three tries at each of five
+hops cause 243 calls to the deepest service, and the overload sustains itself long
+after its cause has gone.
 
-The root request carries a number of retries. A daemon that calls on moves a
-part of what an attempt holds to the child attempt; the child's answer returns
-what was not used. Every retry is taken from exactly one holder and nothing is
-ever created, so the sum over the whole tree stays within the root's number
-whatever is lost. What is lost is lost as retries, never as the bound.
+The root request carries a number of retries. A daemon that makes a nested call moves
+part of the attempt's budget to the child attempt; the child's answer returns the
+unused part. Each retry is spent from exactly one budget and none is ever created, so
+the total over the whole call tree stays within the root's number even when messages
+are lost. A lost message can lose retries but never exceed the bound.
 
-Grounds for the figures stand beside the constants and in
-``docs/design/retries.md``.
+The constants and rules are explained further in ``docs/design/retries.md``.
 """
 
 import heapq
@@ -21,32 +20,34 @@
 from . import hints
 from .messages import Outcome, Reason, rank_request
 
-# The first back-off: about ten crossings between two availability zones, so a
-# slot that is about to become free has time to do so, and still short beside
-# what a reader notices.
-FIRST_BACKOFF = 0.025
+# Upper limit of the first backoff delay, in seconds. About ten one-way trips between
+# two availability zones: enough for a slot to become free, too short for a user to
+# notice.
+INITIAL_BACKOFF = 0.025
 
-# Back-off stops doubling here; a caller that waits longer is better told when
-# to come back than held in a thread.
-LONGEST_BACKOFF = 1.0
+# Upper limit of any backoff delay, in seconds. A caller that would have to wait longer
+# gets a Retry-After hint instead of keeping a thread blocked.
+MAX_BACKOFF = 1.0
 
-# Attempts that one ledger remembers. At 480,000 calls a second on 4,500
-# daemons and 10 s deadlines some 1,100 are known on average; the limit leaves
-# room for a hot service. Each takes some 0.6 kB with one child.
-CAPACITY = 20_000
+# Attempts tracked by one ledger. At 480,000 calls per second on 4,500 daemons with
+# 10 s deadlines a ledger tracks some 1,100 attempts on average; the limit leaves room
+# for a hot service. Each attempt takes some 0.6 kB with one child.
+MAX_TRACKED_ATTEMPTS = 20_000
 
-# Below this share of calls that go out together a service counts as calling one
-# after the other. Two calls at once already make a share of a half.
-SELDOM_TOGETHER = 0.1
+# Below this share of concurrent calls a service counts as making its calls one after
+# the other. A service that always makes two calls at once has a share of one half.
+CONCURRENT_SHARE_THRESHOLD = 0.1
 
-# Weight of the newest call in that share: some 150 calls to change the habit.
-HABIT_WEIGHT = 1 / 64
+# Weight of the newest call in the moving average of that share; the average follows a
+# change of behaviour within some 150 calls.
+CONCURRENT_SHARE_WEIGHT = 1 / 64
 
-# Retries of which none is kept back on the way down, where calls go out in turn.
-SENT_DEEP = 2
+# Largest remaining budget that is granted to a child whole, where calls are made one
+# after the other.
+MAX_WHOLE_GRANT = 2
 
-# Refusals that another endpoint may not share, so that a try elsewhere is of use.
-LOCAL_REASONS = frozenset(
+# Refusals that concern one endpoint only, so that another one may accept the request.
+ENDPOINT_REASONS = frozenset(
     {
         Reason.QUEUE,
         Reason.DEADLINE,
@@ -60,19 +61,20 @@
     }
 )
 
-# The endpoint is gone, not full: waiting before the try elsewhere gains nothing.
-GONE_REASONS = frozenset(
+# The endpoint is unavailable rather than full, so waiting before the first retry at
+# another one gains nothing.
+UNAVAILABLE_REASONS = frozenset(
     {Reason.LEAVING, Reason.NO_ENDPOINT, Reason.NOT_SENT, Reason.WRONG_BACKEND}
 )
 
 
 class RetryDecision(NamedTuple):
-    """Whether to try again.
+    """Whether and when a request is retried.
 
     Attributes:
-        again: Whether the request is tried again, as a new attempt.
+        again: Whether the request is retried, as a new attempt.
         delay: Seconds to wait before the new attempt.
-        ground: Why, for the log line of the decision.
+        ground: Reason for the decision, for its log line.
     """
 
     again: bool
@@ -80,95 +82,99 @@
     ground: str
 
 
-def decide_retry(request, answer, remaining, tries, now, random, elsewhere=None):
-    """Decide whether a request is tried again after an answer.
+def decide_retry(
+    request, answer, remaining, tries, now, random, lowest_other_level=None
+):
+    """Decide whether a request is retried after an answer.
 
-    The decision takes nothing from the ledger: call `Ledger.take` when it says
-    again, and give up when that returns False.
+    This does not spend any retry budget: if the decision is to retry, call
+    `Ledger.take` and give up if that returns False.
 
     Args:
         request: The `Request` whose attempt was answered.
         answer: The `Answer`.
-        remaining: Retries that the holder of the budget still has.
+        remaining: Retries left in the budget that pays for this request.
         tries: Retries of this request already made at this hop.
         now: Time of the event loop, in seconds.
         random: Function that returns a float from 0 to 1.
-        elsewhere: Lowest admission level known at another endpoint of the
-            service, or None where none is known.
+        lowest_other_level: Lowest admission level reported by another endpoint of the
+            service, or None if there is no report.
 
     Returns:
         A `RetryDecision`.
     """
-    obstacle = find_obstacle(request, answer, tries, elsewhere)
+    obstacle = find_retry_obstacle(request, answer, tries, lowest_other_level)
     if obstacle:
         return RetryDecision(False, 0.0, obstacle)
     if remaining <= 0:
         return RetryDecision(False, 0.0, "no retry budget left")
     delay = answer.retry_after + draw_backoff(answer.reason, tries, random)
     if now + delay >= request.deadline:
-        return RetryDecision(False, 0.0, "the deadline would pass")
+        return RetryDecision(False, 0.0, "the retry would start after the deadline")
     return RetryDecision(True, delay, answer.reason.value)
 
 
-def find_obstacle(request, answer, tries, elsewhere):
+def find_retry_obstacle(request, answer, tries, lowest_other_level):
     """Return why an answer must not or need not be followed by a retry, or ""."""
     if answer.attempt != request.attempt:
-        return "the answer is to another attempt"
+        return "the answer belongs to another attempt"
     if answer.outcome is Outcome.COMPLETED:
         return "completed"
-    # A refusal from further down was already retried, or given up, by the hop
-    # just above it. Retrying it here too is what multiplies retries by the
-    # depth of the chain; one would see many times R at the bottom.
+    # The hop directly above the refusing service has already retried or given up.
+    # Retrying at this hop as well would multiply retries by the depth of the chain,
+    # and the deepest service would receive many times the root's number.
     if answer.deeper or answer.reason is Reason.DEEPER:
-        return "refused deeper down"
-    # Nobody knows whether it ran. A second attempt would have a second claim
-    # refused at best, and pay a poet twice if that check were ever at fault.
+        return "refused further down the call graph"
+    # The request may have run. The claim of a second attempt would be refused, but if
+    # that check ever failed, a retry would run non-idempotent work such as a payment
+    # twice.
     if answer.outcome is Outcome.UNKNOWN and (request.key or not request.repeatable):
-        return "non-idempotent work of unknown outcome"
+        return "non-idempotent work with unknown outcome"
     if answer.reason is Reason.LEVEL:
-        return find_level_obstacle(request, tries, elsewhere)
-    if answer.reason not in LOCAL_REASONS:
-        return f"{answer.reason.value} holds at every endpoint"
+        return find_level_obstacle(request, tries, lowest_other_level)
+    if answer.reason not in ENDPOINT_REASONS:
+        return f"{answer.reason.value} applies at every endpoint"
     return ""
 
 
-def find_level_obstacle(request, tries, elsewhere):
+def find_level_obstacle(request, tries, lowest_other_level):
     """Return why a refusal by admission level is not retried, or "".
 
-    The level is about the same at all endpoints of an overloaded service, so a
-    retry would only bring more refused work. One slow endpoint among quick ones
-    is the exception: where a lower level is known elsewhere, one try is made.
+    The admission level is about the same at all endpoints of an overloaded service,
+    so a retry would only add refused work. The exception is one slow endpoint among
+    fast ones: if another endpoint reports a lower level, one retry is made.
     """
     if tries > 0:
         return "two endpoints refused by admission level"
-    if elsewhere is None:
-        return "admission level, and none lower is known"
-    if rank_request(request) < elsewhere:
-        return "admission level, elsewhere too"
+    if lowest_other_level is None:
+        return "refused by admission level, none lower reported elsewhere"
+    if rank_request(request) < lowest_other_level:
+        return "refused by admission level, also too high elsewhere"
     return ""
 
 
 def draw_backoff(reason, tries, random):
-    """Return the seconds to wait: full jitter below a limit that doubles.
+    """Return the seconds to wait before a retry: exponential backoff, full jitter.
 
-    Without the jitter all that one burst had refused would come back together.
+    Without jitter, all requests that were refused in one burst would be retried at
+    the same moment.
 
     Args:
         reason: `Reason` of the refusal.
         tries: Retries already made at this hop.
         random: Function that returns a float from 0 to 1.
     """
-    if reason in GONE_REASONS and tries == 0:
+    if reason in UNAVAILABLE_REASONS and tries == 0:
         return 0.0
-    limit = min(LONGEST_BACKOFF, FIRST_BACKOFF * 2 ** min(tries, 16))
+    limit = min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** min(tries, 16))
     return random() * limit
 
 
-def settle_answer(answer, may_have_run):
-    """Return the last answer as it is true of the whole request.
+def finalize_answer(answer, may_have_run):
+    """Return the last attempt's answer, corrected to be true of the whole request.
 
-    A first attempt may have been lost and a second one turned down. "Not run" is
-    true of the second; the caller would take it for the request.
+    If an earlier attempt was lost and the last one was refused, "not run" is true of
+    the last attempt only, but the caller would apply it to the request.
 
     Args:
         answer: The `Answer` to the last attempt.
@@ -185,12 +191,12 @@
 
 
 class Situation(NamedTuple):
-    """What is known when a child is to be granted retries.
+    """Input of a grant policy.
 
     Attributes:
-        held: Retries that the holder has.
-        together: Share of this backend server's calls that go out while
-            another call of the same request is out.
+        held: Retries left in the budget that the grant is taken from.
+        together: Share of this backend server's calls that are made while
+            another call of the same request is in flight.
     """
 
     held: int
@@ -198,65 +204,65 @@
 
 
 def grant_most(situation):
-    """Grant a child all but one, and of one or two everything.
+    """Grant a child all retries but one, and the whole budget of one or two.
 
-    What went down is lost when the answer is; the one kept repeats a call whose
-    answer was lost. The last two go all the way down: refusals are far more
-    frequent than lost answers, and return what they got.
+    Granted retries are lost if the child's answer is lost; the one kept back pays for
+    retrying that call. The last two are granted whole because refusals, whose answers
+    return unused retries, are far more frequent than lost answers.
     """
-    if situation.held > SENT_DEEP:
+    if situation.held > MAX_WHOLE_GRANT:
         return situation.held - 1
     return situation.held
 
 
 def grant_half(situation):
-    """Grant a child half of what is held and keep the odd one.
+    """Grant a child half of the remaining retries, rounded down.
 
-    Where calls go out together, what is kept serves whichever of them is
-    refused first, while what went down serves one branch only.
+    Where calls are made concurrently, the retries kept back can pay for whichever
+    call is refused first, while granted ones serve a single branch.
     """
     return situation.held // 2
 
 
-def grant_by_habit(situation):
-    """Grant most where calls go out one after the other, else half.
+def grant_by_concurrency(situation):
+    """Grant most retries where calls are sequential, and half otherwise.
 
-    One after the other, little is gained by holding back: each child returns
-    what it did not use before the next call. Half at each of 16 hops would
-    leave the last ones a single retry whatever the root holds. Calls that go
-    out together would find nothing left after the first.
+    With sequential calls little is gained by keeping retries back: each child returns
+    its unused retries before the next call. Granting half at each of 16 hops would
+    leave the last hops a single retry whatever the root's budget. With concurrent
+    calls, granting most to the first call would leave none for the others.
     """
-    if situation.together < SELDOM_TOGETHER:
+    if situation.together < CONCURRENT_SHARE_THRESHOLD:
         return grant_most(situation)
     return grant_half(situation)
 
 
-class Holding:
-    """What one attempt holds.
+class AttemptBudget:
+    """Retry budget of one attempt.
 
     Attributes:
-        remaining: Retries still there to take or to grant.
+        remaining: Retries left to spend or to grant.
         expires: Event loop time after which the attempt is forgotten.
-        out: Children that have not answered.
-        closed: Whether it was answered; kept until it expires, so that a doubled
-            message does not open it again with a second budget.
+        unanswered: Number of children that have not answered.
+        closed: Whether the attempt was answered. A closed budget is kept until it
+            expires, so that a duplicate message does not open a second budget.
     """
 
-    __slots__ = ("closed", "expires", "out", "remaining")
+    __slots__ = ("closed", "expires", "remaining", "unanswered")
 
     def __init__(self, remaining, expires):
         self.remaining = remaining
         self.expires = expires
-        self.out = 0
+        self.unanswered = 0
         self.closed = False
 
 
 class Grant(NamedTuple):
-    """What a child attempt was granted.
+    """Retries granted to a child attempt.
 
     Attributes:
-        holder: Attempt that it was taken from.
-        retries: How many.
+        holder: Attempt whose budget the retries were taken from.
+        retries: Number of retries granted.
     """
 
     holder: str
@@ -264,35 +270,35 @@
 
 
 class Ledger:
-    """Retries held by the attempts that this daemon is working on.
+    """Retry budgets of the attempts that this daemon is working on.
 
-    An attempt that the ledger doesn't know holds nothing: after a restart, or
-    past its capacity, the daemon grants and takes 0. That costs retries; the
-    bound stands.
+    An attempt that the ledger does not track, after a restart or beyond its capacity,
+    has a budget of 0 to grant or spend. This loses retries but never exceeds the
+    bound.
 
     Args:
-        policy: Function from a `Situation` to what a new child is granted.
-        capacity: Attempts remembered at most.
+        policy: Function from a `Situation` to the retries granted to a new child.
+        capacity: Maximum number of attempts tracked.
     """
 
-    def __init__(self, policy=grant_by_habit, capacity=CAPACITY):
+    def __init__(self, policy=grant_by_concurrency, capacity=MAX_TRACKED_ATTEMPTS):
         self._policy = policy
         self._capacity = capacity
         self._holdings = {}
         self._children = {}
         self._grants = {}
         self._expiry = []
-        # A service that calls together is known after some seven calls; one
-        # that doesn't is right from the start.
-        self._together = 0.0
+        # Services are assumed to make sequential calls; one that makes concurrent
+        # calls is recognized after some seven calls.
+        self._concurrent_share = 0.0
 
     def __len__(self):
         return len(self._holdings)
 
     def open(self, attempt, granted, expires):
-        """Begin to hold what came with an attempt.
+        """Start tracking the budget of an attempt.
 
-        A doubled message finds the attempt known and adds nothing.
+        A duplicate message of a tracked attempt adds nothing.
 
         Args:
             attempt: The attempt.
@@ -300,103 +306,103 @@
             expires: Event loop time after which it is forgotten: its deadline.
 
         Returns:
-            Whether the attempt is new and was taken in.
+            Whether the attempt is new and is now tracked.
         """
         if attempt in self._holdings or len(self._holdings) >= self._capacity:
             return False
-        self._holdings[attempt] = Holding(max(0, granted), expires)
+        self._holdings[attempt] = AttemptBudget(max(0, granted), expires)
         heapq.heappush(self._expiry, (expires, attempt))
         return True
 
     def get_remaining(self, attempt):
-        """Return the retries that an attempt holds now; 0 for one not known."""
-        holding = self._find_open(attempt)
-        return holding.remaining if holding else 0
+        """Return the retries left to an attempt; 0 for one that is not tracked."""
+        budget = self._find_open(attempt)
+        return budget.remaining if budget else 0
 
     def grant(self, attempt, child):
-        """Move a part of what an attempt holds to a new child attempt.
+        """Move part of an attempt's budget to a new child attempt.
 
         Args:
-            attempt: The holder.
-            child: Identifier of the child attempt; new for each try.
+            attempt: The attempt whose budget pays.
+            child: Identifier of the child attempt; each retry needs a new one.
 
         Returns:
-            Retries that the child may cause; 0 where the holder isn't known.
+            Retries that the child may cause; 0 if the attempt is not tracked.
         """
-        holding = self._find_open(attempt)
-        if holding is None or child in self._grants:
+        budget = self._find_open(attempt)
+        if budget is None or child in self._grants:
             return 0
-        self._note_habit(holding.out > 0)
-        situation = Situation(holding.remaining, self._together)
+        self._record_concurrency(budget.unanswered > 0)
+        situation = Situation(budget.remaining, self._concurrent_share)
         wanted = self._policy(situation)
-        retries = min(holding.remaining, wanted)
-        holding.remaining -= retries
-        holding.out += 1
+        retries = min(budget.remaining, wanted)
+        budget.remaining -= retries
+        budget.unanswered += 1
         self._grants[child] = Grant(attempt, retries)
         self._children.setdefault(attempt, []).append(child)
         return retries
 
     def give_back(self, child, unused):
-        """Return to the holder what a child's answer says it did not use.
+        """Return a child's unused retries to the budget that granted them.
 
-        Each child gives back once and no more than it got. Without that a
-        doubled answer would add retries that were already used elsewhere. Call
-        it with 0 for a child whose answer is no longer waited for.
+        Each child returns retries once and at most as many as it was granted.
+        Otherwise a duplicate answer would add retries that were already used
+        elsewhere. Call this with 0 for a child whose answer is no longer awaited.
 
         Args:
             child: The child attempt that was answered.
             unused: Retries that it did not use.
 
         Returns:
-            Retries returned to the holder.
+            Retries added to the granting budget.
         """
         grant = self._grants.pop(child, None)
         if grant is None:
             return 0
-        holding = self._find_open(grant.holder)
-        if holding is None:
+        budget = self._find_open(grant.holder)
+        if budget is None:
             return 0
-        holding.out -= 1
+        budget.unanswered -= 1
         returned = min(max(0, unused), grant.retries)
-        holding.remaining += returned
+        budget.remaining += returned
         return returned
 
     def take(self, attempt):
-        """Take one retry from what an attempt holds.
+        """Spend one retry of an attempt's budget.
 
         Returns:
-            Whether there was one; without it the retry must not be made.
+            Whether a retry was left. If not, the retry must not be made.
         """
-        holding = self._find_open(attempt)
-        if holding is None or holding.remaining == 0:
+        budget = self._find_open(attempt)
+        if budget is None or budget.remaining == 0:
             return False
-        holding.remaining -= 1
+        budget.remaining -= 1
         return True
 
     def close(self, attempt):
-        """End an attempt that is being answered.
+        """Close the budget of an attempt that is being answered.
 
-        What its children still hold is not waited for and not returned.
+        Retries still granted to unanswered children are not awaited or returned.
 
         Returns:
-            Retries to return upward with the answer.
+            Unused retries, to be returned to the caller with the answer.
         """
-        holding = self._find_open(attempt)
-        if holding is None:
+        budget = self._find_open(attempt)
+        if budget is None:
             return 0
-        unused = holding.remaining
-        holding.remaining = 0
-        holding.closed = True
+        unused = budget.remaining
+        budget.remaining = 0
+        budget.closed = True
         self._forget_children(attempt)
         return unused
 
     def expire(self, now):
-        """Forget the attempts whose time is over.
+        """Forget the attempts whose deadline has passed.
 
-        An attempt whose answer was never sent would otherwise stay for ever.
+        An attempt whose answer was never sent would otherwise stay forever.
 
         Returns:
-            How many were forgotten.
+            Number of attempts forgotten.
         """
         forgotten = 0
         while self._expiry and self._expiry[0][0] <= now:
@@ -406,12 +412,14 @@
             forgotten += 1
         return forgotten
 
-    def _note_habit(self, together):
-        self._together += HABIT_WEIGHT * (together - self._together)
+    def _record_concurrency(self, concurrent):
+        self._concurrent_share += CONCURRENT_SHARE_WEIGHT * (
+            concurrent - self._concurrent_share
+        )
 
     def _find_open(self, attempt):
-        holding = self._holdings.get(attempt)
-        return None if holding is None or holding.closed else holding
+        budget = self._holdings.get(attempt)
+        return None if budget is None or budget.closed else budget
 
     def _forget_children(self, attempt):
         for child in self._children.pop(attempt, ()):
--- a/whinwinch/router.py
+++ b/whinwinch/router.py
@@ -1,4 +1,4 @@
-"""Routing of one call: level, endpoint, attempt, and whether to try again."""
+"""Routing of one call: admission level, choice of endpoint, attempts and retries."""
 
 import asyncio
 import time
@@ -7,21 +7,21 @@
 from . import claims, decisions, messages, placement, recording, retries, sending
 from .messages import Answer, Outcome, Reason, Request
 
-# Chains are up to 16 deep. A request that has passed twice as many services
-# goes round in a loop, which would otherwise end only at its deadline.
-DEEPEST_PATH = 32
+# Call chains are up to 16 services deep. A request that has passed twice as many
+# is in a loop, which would otherwise end only at its deadline.
+MAX_CALL_DEPTH = 32
 
 
 class Incoming(NamedTuple):
-    """A checked call as a caller or the own backend server makes it.
+    """A validated call made by a caller or by the local backend server.
 
     Attributes:
-        identifier: The request id given by the caller, "" for none.
-        service: Name of the service wanted.
+        identifier: The request id sent by the caller, "" for none.
+        service: Name of the service called.
         method: HTTP method.
         path: Path and query at the backend server.
-        importance: Highest importance that the caller asks for, None for none.
-        timeout: Seconds that the caller waits, None for the service's own.
+        importance: Highest importance that the caller requests, None for no limit.
+        timeout: Seconds that the caller waits, None for the service's timeout.
         key: Idempotency key, "" for none.
         caller: Name of the caller.
         headers: Pairs of header name and value for the backend server.
@@ -41,15 +41,15 @@
 
 
 class Routed(NamedTuple):
-    """The end of a call.
+    """The result of a call.
 
     Attributes:
-        answer: The answer of the last attempt.
+        answer: The answer to the last attempt.
         root: Identifier of the root request.
-        retries: Retries that the call has caused, over all hops; an upper
-            bound where an answer was lost.
+        retries: Retries that the call has caused at all hops; an upper bound if
+            an answer was lost.
         call: Name of the call in the service's resource.
-        importance: Importance with which it was admitted.
+        importance: Importance with which the call was routed.
     """
 
     answer: Answer
@@ -60,13 +60,14 @@
 
 
 class Places(NamedTuple):
-    """Where attempts can be sent.
+    """Destinations of attempts: the local backend server and other daemons.
 
     Attributes:
-        own: Identifier of the own daemon.
-        find_endpoints: Takes a service, returns its endpoints.
-        has_room: Returns whether the own backend server has a free slot.
-        serve: Coroutine function that serves an attempt at the own backend
+        own: Identifier of this daemon.
+        find_endpoints: Function from the name of a service to its endpoints.
+        has_room: Function that returns whether the local backend server has a
+            free slot.
+        serve: Coroutine function that serves an attempt at the local backend
             server.
         call: Coroutine function that sends an attempt to another daemon's
             endpoint.
@@ -80,21 +81,23 @@
 
 
 class Router:
-    """Routes calls of callers and of the own backend server.
+    """Routes calls of callers and of the local backend server.
 
     Args:
-        clock: Returns the loop's time in seconds.
+        clock: Function that returns the event loop time in seconds.
         places: `Places`.
-        find_service: Takes a name, returns its `resources.ServiceSpec`.
-        match_call: Takes a spec, method and path, returns its `CallSpec`.
+        find_service: Function from a service name to its `resources.ServiceSpec`.
+        match_call: Function from a service spec, HTTP method and path to the
+            `resources.CallSpec`.
         placement_state: `placement.Placement`.
         levels: `levels.Levels`.
         ledger: `retries.Ledger`.
         running: `running.Running`.
-        random: Function that returns a float from 0 to 1, for back-off.
-        key_window: Seconds for which an idempotency key is good at most.
-        note: Takes an `Incoming`, its `Routed` and the seconds it took.
-        notes: `recording.Notes` for a trace.
+        random: Function that returns a float from 0 to 1, for the backoff jitter.
+        key_window: Maximum age of an idempotency key in seconds.
+        note: Function that records an `Incoming`, its `Routed` and the seconds that
+            it took.
+        notes: `recording.Notes` that records a trace.
     """
 
     def __init__(
@@ -126,11 +129,11 @@
         self._notes = notes
 
     async def route_root(self, incoming, budget=None):
-        """Route a call from outside.
+        """Route a call as a new root request.
 
         Args:
             incoming: The `Incoming`.
-            budget: Retries that it may cause, None for what the service says.
+            budget: Retries that it may cause, None for the service's retry budget.
 
         Returns:
             A `Routed`.
@@ -156,92 +159,103 @@
         )
         self._ledger.open(request.attempt, request.budget, request.deadline)
         self._notes.root_request(request)
-        routed = await self._route_counted(request, incoming, call, request.attempt)
+        routed = await self._route_and_record(request, incoming, call, request.attempt)
         source = routed.answer.attempt
         self._notes.delivered(
             request.root, routed.answer, "" if source == request.attempt else source
         )
         return routed
 
-    async def route_nested(self, incoming, holder):
-        """Route a call that the request `holder` makes from inside."""
+    async def route_nested(self, incoming, parent):
+        """Route a call that the local backend server makes for a request.
+
+        Args:
+            incoming: The `Incoming`.
+            parent: The `messages.Request` that the backend server is processing.
+
+        Returns:
+            A `Routed`.
+        """
         spec = self._find_service(incoming.service)
         call = self._match_call(spec, incoming.method, incoming.path)
         now = self._clock()
         request = Request(
             attempt=messages.new_identifier(),
-            root=holder.root,
+            root=parent.root,
             service=incoming.service,
             call=call.name,
             method=incoming.method,
             path=incoming.path,
-            importance=max(holder.importance, call.importance),
+            importance=max(parent.importance, call.importance),
             deadline=min(
-                holder.deadline, now + _limit_timeout(incoming.timeout, spec.timeout)
+                parent.deadline, now + _limit_timeout(incoming.timeout, spec.timeout)
             ),
             key=claims.normalize_key(incoming.key),
             repeatable=call.repeatable,
-            caller=holder.caller,
-            via=(*holder.via, holder.service),
+            caller=parent.caller,
+            via=(*parent.via, parent.service),
             headers=incoming.headers,
             body=incoming.body,
         )
-        routed = await self._route_counted(request, incoming, call, holder.attempt)
-        self._running.note_answer(holder.attempt, routed.answer)
+        routed = await self._route_and_record(request, incoming, call, parent.attempt)
+        self._running.note_answer(parent.attempt, routed.answer)
         return routed
 
-    async def _route_counted(self, request, incoming, call, holder):
+    async def _route_and_record(self, request, incoming, call, budget_holder):
         started = self._clock()
         try:
-            answer = await self._check_and_route(request, incoming, call, holder)
+            answer = await self._check_and_route(request, incoming, call, budget_holder)
         finally:
-            unused = self._close_root(request, holder)
+            unused = self._close_root(request, budget_holder)
         caused = max(0, request.budget - unused)
         routed = Routed(answer, request.root, caused, call.name, request.importance)
         self._note(incoming, routed, self._clock() - started)
         return routed
 
-    def _close_root(self, request, holder):
-        """Return what a root request has left; a nested call holds nothing."""
-        if holder != request.attempt:
+    def _close_root(self, request, budget_holder):
+        """Close the budget of a root request and return the unused retries.
+
+        A nested call has no budget of its own and returns 0.
+        """
+        if budget_holder != request.attempt:
             return 0
-        return self._ledger.close(holder)
+        return self._ledger.close(budget_holder)
 
-    async def _check_and_route(self, request, incoming, call, holder):
-        if len(request.via) >= DEEPEST_PATH:
+    async def _check_and_route(self, request, incoming, call, budget_holder):
+        if len(request.via) >= MAX_CALL_DEPTH:
             return _refuse(request, Reason.TOO_DEEP)
-        # A key marks a request as non-idempotent, whatever is declared.
+        # A request with a key is non-idempotent, whatever its call declares.
         if call.idempotent and not incoming.key:
-            return await self._try_endpoints(request, holder)
+            return await self._try_endpoints(request, budget_holder)
         window = min(call.key_window, self._key_window)
         reason = check_key(incoming.key, time.time(), window)
         if reason is Reason.NONE:
-            return await self._try_endpoints(request, holder)
+            return await self._try_endpoints(request, budget_holder)
         if reason is Reason.KEY_MISSING:
             return _refuse(request, reason)
-        # The key was good once, and the work may have run then. Told "not
-        # run", the caller would make a new key and have it run again.
+        # The key was valid earlier, and the work may have run then. After "not
+        # run" the caller would create a new key, and the work would run twice.
         return _refuse(request, reason)._replace(outcome=Outcome.UNKNOWN)
 
-    async def _try_endpoints(self, request, holder):
-        """Try until an answer stands; each try is an attempt of its own."""
+    async def _try_endpoints(self, request, budget_holder):
+        """Send attempts to endpoints until one gives a final answer."""
         tries, tried, may_have_run = 0, frozenset(), False
         while True:
             refused = self._refuse_by_level(request)
             if refused is not None:
-                return retries.settle_answer(refused, may_have_run)
-            choice = self._choose(request, tried)
+                return retries.finalize_answer(refused, may_have_run)
+            choice = self._choose_endpoint(request, tried)
             if choice.endpoint is None:
-                absent = self._log_refusal(request, Reason.NO_ENDPOINT, 1.0)
-                return retries.settle_answer(absent, may_have_run)
-            attempt = self._build_attempt(request, holder)
+                no_endpoint = self._log_refusal(request, Reason.NO_ENDPOINT, 1.0)
+                return retries.finalize_answer(no_endpoint, may_have_run)
+            attempt = self._build_attempt(request, budget_holder)
             answer = await self._send(attempt, choice, tries)
             may_have_run |= answer.outcome is messages.Outcome.UNKNOWN
             tries += 1
             tried |= {choice.endpoint.daemon}
-            decision = self._decide_retry(attempt, answer, holder, tries, choice)
+            decision = self._decide_retry(attempt, answer, budget_holder, tries, choice)
             if not decision.again:
-                return retries.settle_answer(answer, may_have_run)
+                return retries.finalize_answer(answer, may_have_run)
             if decision.delay:
                 await asyncio.sleep(decision.delay)
 
@@ -254,19 +268,24 @@
         refused = self._log_refusal(request, decision.reason, decision.retry_after)
         return refused._replace(load=messages.Load(below=below))
 
-    def _choose(self, request, tried):
-        """Choose an endpoint; the own one while it has room, to save a hop."""
+    def _choose_endpoint(self, request, tried):
+        """Choose an endpoint; the local one while it has a free slot, to save a hop.
+
+        Args:
+            request: The `messages.Request`.
+            tried: Identifiers of the daemons that were already tried.
+        """
         endpoints = self._places.find_endpoints(request.service)
         for endpoint in endpoints:
-            is_own = endpoint.daemon == self._places.own
-            if is_own and endpoint.daemon not in tried and self._places.has_room():
-                return placement.Choice(endpoint, "own endpoint has room")
+            is_local = endpoint.daemon == self._places.own
+            if is_local and endpoint.daemon not in tried and self._places.has_room():
+                return placement.Choice(endpoint, "local endpoint has a free slot")
         return self._placement.choose(request, endpoints, self._clock(), tried)
 
-    def _build_attempt(self, request, holder):
-        """Return the request as an attempt with its part of the budget."""
+    def _build_attempt(self, request, budget_holder):
+        """Return the request as a new attempt with its granted retries."""
         attempt = messages.new_identifier()
-        granted = self._ledger.grant(holder, attempt)
+        granted = self._ledger.grant(budget_holder, attempt)
         return request._replace(attempt=attempt, budget=granted)
 
     async def _send(self, attempt, choice, tries):
@@ -285,7 +304,7 @@
             )
         )
         self._notes.attempt(attempt, tries > 0)
-        answer = await sending.send_watched(
+        answer = await sending.send_and_observe(
             self._placement, endpoint, attempt, self._clock, self._serve_or_call
         )
         self._levels.learn(
@@ -298,47 +317,52 @@
             return await self._places.serve(attempt)
         return await self._places.call(endpoint, attempt)
 
-    def _decide_retry(self, attempt, answer, holder, tries, choice):
-        """Settle the budget of an attempt; return a `retries.RetryDecision`."""
+    def _decide_retry(self, attempt, answer, budget_holder, tries, choice):
+        """Decide on a retry after crediting the retries that an attempt did not use.
+
+        Returns:
+            A `retries.RetryDecision`.
+        """
         self._ledger.give_back(attempt.attempt, answer.unused)
-        remaining = self._ledger.get_remaining(holder)
+        remaining = self._ledger.get_remaining(budget_holder)
         decision = retries.decide_retry(
             attempt, answer, remaining, tries - 1, self._clock(), self._random
         )
-        again = decision.again and self._ledger.take(holder)
+        again = decision.again and self._ledger.take(budget_holder)
         self._log_answer(attempt, answer, choice, again, decision.ground)
         return decision._replace(again=again)
 
     def _log_answer(self, attempt, answer, choice, again, ground):
-        """Log what was decided after an answer; a whole one asks no decision."""
+        """Log the decision after an answer, unless it completed the request."""
         if answer.outcome is Outcome.COMPLETED and not answer.deeper:
             return
-        left = attempt.deadline - self._clock()
-        decisions.log_answer(attempt, answer, choice.endpoint, left, again, ground)
+        time_left = attempt.deadline - self._clock()
+        decisions.log_answer(attempt, answer, choice.endpoint, time_left, again, ground)
 
     def _log_refusal(self, request, reason, retry_after):
         decisions.log_refusal(request, reason, retry_after, "entry")
         return _refuse(request, reason, retry_after)
 
 
-def check_key(key, wall, window):
-    """Return why the key of non-idempotent work can't be taken, or NONE.
+def check_key(key, wall_time, window):
+    """Return why the key of a non-idempotent request is refused, or NONE.
 
     Args:
         key: The key as the caller sent it.
-        wall: This instance's wall-clock time in seconds.
-        window: Seconds for which a key is good.
+        wall_time: Wall-clock time of this instance in seconds.
+        window: Seconds for which a key is valid.
 
     Returns:
-        KEY_MISSING for what never was a good key, KEY_AGE for one too old.
+        KEY_MISSING for a key that is missing, malformed or dated in the future,
+        KEY_AGE for one that is too old.
     """
     normal = claims.normalize_key(key)
     if not normal:
         return Reason.KEY_MISSING
     made = claims.get_key_time(normal)
-    if made > wall + claims.AHEAD:
+    if made > wall_time + claims.AHEAD:
         return Reason.KEY_MISSING
-    if made < wall - window:
+    if made < wall_time - window:
         return Reason.KEY_AGE
     return Reason.NONE
 
@@ -349,14 +373,14 @@
     )
 
 
-def _lower_importance(declared, asked):
-    """A caller may lower what the resource declares, never raise it."""
-    if asked is None:
+def _lower_importance(declared, requested):
+    """Return the declared importance, or a lower one that the caller requests."""
+    if requested is None:
         return declared
-    return min(declared, asked)
+    return min(declared, requested)
 
 
-def _limit_timeout(asked, longest):
-    if asked is None:
-        return longest
-    return min(asked, longest)
+def _limit_timeout(requested, maximum):
+    if requested is None:
+        return maximum
+    return min(requested, maximum)
--- a/whinwinch/sending.py
+++ b/whinwinch/sending.py
@@ -1,14 +1,14 @@
-"""One attempt on its way: the endpoint chosen is told how it went."""
+"""Sending of one attempt, with its result reported to the placement."""
 
 
-async def send_watched(placement, endpoint, attempt, clock, send):
-    """Send an attempt and return its answer; the placement learns from it.
+async def send_and_observe(placement, endpoint, attempt, clock, send):
+    """Send an attempt and return its answer; the placement observes the result.
 
     Args:
         placement: `placement.Placement`.
-        endpoint: The `messages.Endpoint` chosen.
+        endpoint: The chosen `messages.Endpoint`.
         attempt: The `messages.Request`.
-        clock: Returns the loop's time in seconds.
+        clock: Function that returns the event loop time in seconds.
         send: Coroutine function from endpoint and attempt to the `messages.Answer`.
     """
     started = clock()
@@ -18,7 +18,8 @@
         answer = await send(endpoint, attempt)
     finally:
         if answer is None:
-            # Cancelled: says nothing of the endpoint, but it is not out.
+            # The attempt was cancelled, which says nothing about the endpoint, but
+            # it must no longer count as in flight there.
             placement.withdraw(endpoint.daemon, attempt.attempt)
     ended = clock()
     placement.observe(endpoint.daemon, answer, ended - started, ended, attempt)
