--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests for the memory of attempts."""
+"""Tests for the duplicate detection of attempts."""
 
 import unittest
 
@@ -6,20 +6,20 @@
 
 
 class AttemptsTest(unittest.TestCase):
-    def test_a_doubled_message_is_noticed(self):
+    def test_duplicate_message_is_detected(self):
         """The network delivers one message twice.
 
-        Both copies would run, and the caller would find its work done twice.
+        Without detection both copies would run, and the work would be done twice.
         """
-        known = attempts.Attempts(keep=60.0)
-        self.assertTrue(known.note("a", 0.0))
-        self.assertFalse(known.note("a", 59.0))
+        recent = attempts.Attempts(retention=60.0)
+        self.assertTrue(recent.note("a", 0.0))
+        self.assertFalse(recent.note("a", 59.0))
 
-    def test_the_memory_is_bounded_by_time(self):
-        known = attempts.Attempts(keep=60.0)
+    def test_old_attempts_are_forgotten(self):
+        recent = attempts.Attempts(retention=60.0)
         for number in range(1000):
-            known.note(str(number), float(number))
-        self.assertLessEqual(len(known), 61)
+            recent.note(str(number), float(number))
+        self.assertLessEqual(len(recent), 61)
 
 
 if __name__ == "__main__":
--- a/test/test_repeats.py
+++ b/test/test_repeats.py
@@ -1,4 +1,4 @@
-"""Tests of the budget of repeats."""
+"""Tests for the budget of repeats."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 
 
 class Service:
-    """Gatekeepers of one service, and what reached their backend servers."""
+    """Gatekeepers of one service, and the times of the attempts they admitted."""
 
     def __init__(self, endpoints, terms=TERMS, start=0.0):
         self.terms = terms
@@ -32,34 +32,34 @@
         self.firsts.append(now)
 
     def take(self, number, request, now):
-        taken = self.budgets[number % len(self.budgets)].take(request, now)
-        if taken:
+        admitted = self.budgets[number % len(self.budgets)].take(request, now)
+        if admitted:
             self.repeats.append(now)
-        return taken
+        return admitted
 
     def count(self, times, start, end):
         return sum(start <= time < end for time in times)
 
     def find_excess(self):
-        """Return by how much the fullest window exceeds what operators allow."""
+        """Return the largest number of repeats in a window beyond the limit."""
         window = self.terms.window
         excess = []
         for end in [time + 1e-6 for time in self.repeats]:
-            most = max(
+            firsts = max(
                 self.count(self.firsts, end - window - back, end - back)
                 for back in (0.0, window / 2, window)
             )
-            allowed = self.terms.ratio * most + self.terms.slack
+            allowed = self.terms.ratio * firsts + self.terms.slack
             spent = self.count(self.repeats, end - window, end)
             excess.append(spent - allowed)
         return max(excess, default=0.0)
 
 
 class RepeatBudgetTest(unittest.TestCase):
-    def test_repeats_never_exceed_what_operators_allow(self):
-        """Answers are lost for a while, and everybody repeats.
+    def test_repeats_never_exceed_the_operators_limit(self):
+        """Answers are lost for a while, and all callers repeat their requests.
 
-        Without a bound a service that is short of room is asked twice for all of it.
+        Without a limit a service that lacks capacity would receive its load twice.
         """
         for seed in range(4):
             draw = random.Random(seed)
@@ -75,66 +75,69 @@
             self.assertLessEqual(service.find_excess(), 0.0, seed)
             self.assertGreater(len(service.repeats), 400)
 
-    def test_most_of_what_operators_allow_can_be_used(self):
-        """A service turns down half of what it is sent, for seconds.
+    def test_most_of_the_operators_limit_can_be_used(self):
+        """A service refuses half of its requests for several seconds.
 
-        Cut off far below what operators grant, callers fail who could be served.
+        If repeats were cut off far below the limit, requests would fail that could
+        have been served.
         """
         service = Service(3)
         for number in range(2000):
             now = 20.0 + number / 200.0
             service.note_first(number, now)
-        taken = 0
+        admitted = 0
         for number in range(4000):
             now = 30.0 + number / 800.0
             service.note_first(number, now)
-            taken += service.take(number, build_request(str(number)), now)
-        self.assertGreater(taken, 0.5 * (0.2 * 3000 + 48))
+            admitted += service.take(number, build_request(str(number)), now)
+        self.assertGreater(admitted, 0.5 * (0.2 * 3000 + 48))
 
-    def test_single_loss_is_repeated_in_a_quiet_time(self):
+    def test_single_loss_under_light_load_is_repeated(self):
         service = Service(22, TERMS._replace(slack=100.0), start=-100.0)
-        taken = [
+        admitted = [
             service.take(n, build_request(str(n)), 50.0 + 5.0 * n) for n in range(20)
         ]
-        self.assertTrue(all(taken))
+        self.assertTrue(all(admitted))
 
-    def test_everybody_gets_a_repeat_while_there_are_enough(self):
+    def test_all_repeats_are_admitted_while_the_budget_suffices(self):
         service = Service(3)
         for number in range(3000):
             service.note_first(number, 20.0 + number / 300.0)
-        taken = [
+        admitted = [
             service.take(n, build_request(str(n), Importance.LOW), 30.0 + n / 10.0)
             for n in range(30)
         ]
-        self.assertTrue(all(taken))
+        self.assertTrue(all(admitted))
 
-    def test_the_important_get_what_there_is_when_repeats_are_short(self):
-        """A deep service turns down half of its work, and repeats are short.
+    def test_important_requests_are_repeated_first_when_the_budget_is_short(self):
+        """A deep service refuses half of its work, and the budget is short.
 
-        Spent on all alike they are gone in a second and carry nobody through.
+        If all requests drew on it alike, it would be spent within a second and few
+        requests would complete.
         """
         service = Service(3)
         for number in range(4000):
             service.note_first(number, 20.0 + number / 400.0)
-        taken = {importance: [0, 0] for importance in Importance}
+        counts = {importance: [0, 0] for importance in Importance}
         for number in range(4000):
             now = 30.0 + number / 800.0
             service.note_first(number, now)
             importance = Importance(0 if number % 8 else 3)
             request = build_request(str(number), importance)
-            asked = taken[importance]
-            asked[0] += 1
-            asked[1] += service.take(number, request, now)
-        asked, got = taken[Importance.CRITICAL]
-        self.assertGreater(got, 0.95 * asked)
-        asked, got = taken[Importance.LOW]
-        self.assertLess(got, 0.3 * asked)
+            tally = counts[importance]
+            tally[0] += 1
+            tally[1] += service.take(number, request, now)
+        requested, admitted = counts[Importance.CRITICAL]
+        self.assertGreater(admitted, 0.95 * requested)
+        requested, admitted = counts[Importance.LOW]
+        self.assertLess(admitted, 0.3 * requested)
         self.assertLessEqual(service.find_excess(), 0.0)
 
-    def test_whole_requests_get_their_repeats(self):
-        """Requests of one importance need several repeats each, all or nothing.
+    def test_a_root_request_gets_all_or_none_of_its_repeats(self):
+        """Root requests of one importance need five repeats each to complete.
 
-        Drawn anew for each repeat nearly every request would miss one of them.
+        If each repeat were decided independently, nearly every request would miss at
+        least one of them.
         """
         service = Service(3)
         for number in range(4000):
@@ -142,19 +145,19 @@
         whole = spent = 0
         for root in range(600):
             now = 30.0 + root / 120.0
-            taken = [
+            admitted = [
                 service.take(number, build_request(f"root-{root}"), now + number / 50)
                 for number in range(5)
             ]
-            whole += all(taken)
-            spent += sum(taken)
+            whole += all(admitted)
+            spent += sum(admitted)
         self.assertGreater(whole, 60)
         self.assertGreater(5 * whole, spent / 2)
 
-    def test_calls_of_a_repeated_run_count_and_are_not_refused(self):
-        """A repeated request makes its calls again one service down.
+    def test_nested_calls_of_a_repeat_count_and_are_not_refused(self):
+        """A repeated request makes its nested calls to the next service again.
 
-        Uncounted they come on top of what operators allow.
+        If these were not counted, repeats would exceed the operators' limit.
         """
         (budget,) = Service(1).budgets
         before = budget.find_left(100.0)
@@ -162,18 +165,18 @@
             budget.note_caused(100.0)
         self.assertEqual(budget.find_left(100.0), before - 5)
 
-    def test_repeat_that_did_not_go_in_is_given_back(self):
+    def test_repeat_that_did_not_reach_the_backend_server_is_given_back(self):
         (budget,) = Service(1).budgets
         before = budget.find_left(100.0)
         self.assertTrue(budget.take(build_request("x"), 100.0))
         budget.give_back(100.0)
         self.assertEqual(budget.find_left(100.0), before)
 
-    def test_daemon_that_starts_anew_grants_no_second_slack(self):
-        """All daemons of a service are killed and start again in a trouble.
+    def test_restarted_daemon_does_not_get_the_slack_twice(self):
+        """All daemons of a service crash and restart during an outage.
 
-        They forgot what they let through; with all of the slack at once the window
-        would hold it twice.
+        They have forgotten which repeats they admitted. With the full slack at once,
+        one window would contain it twice.
         """
         (budget,) = Service(1, start=100.0).budgets
         self.assertLess(budget.find_left(100.1), 1.0)
--- a/whinwinch/attempts.py
+++ b/whinwinch/attempts.py
@@ -1,30 +1,30 @@
-"""Attempts that a gatekeeper has already dealt with."""
+"""Duplicate detection for attempts that reach a gatekeeper."""
 
 import collections
 
-# A message that is delivered later than this has been dropped by its sender:
-# a call ends at its deadline, and no deadline of a call is that long.
-KEEP_SECONDS = 60.0
+# Seconds for which an attempt is remembered. Its sender drops any message that would
+# be delivered later: a call ends at its deadline, which is always shorter than this.
+RETENTION_SECONDS = 60.0
 
 
 class Attempts:
-    """Remembers attempts for a while, so that none is dealt with twice.
+    """Remembers recent attempts, so that none is handled twice.
 
-    A late or doubled message of an attempt that was told "not run" would run
-    it after all; the caller, who has asked again by then, would see the work
+    Without this, a late or duplicate message of an attempt that was answered "not
+    run" would run it after all. The caller has retried by then, so the work would be
     done twice.
 
     Args:
-        keep: Seconds for which an attempt is remembered.
+        retention: Seconds for which an attempt is remembered.
     """
 
-    def __init__(self, keep=KEEP_SECONDS):
-        self._keep = keep
+    def __init__(self, retention=RETENTION_SECONDS):
+        self._retention = retention
         self._known = set()
         self._order = collections.deque()
 
     def note(self, attempt, now):
-        """Remember an attempt; return False when it was known already."""
+        """Record an attempt; return False if it was already recorded."""
         self._drop_old(now)
         if attempt in self._known:
             return False
@@ -33,7 +33,7 @@
         return True
 
     def _drop_old(self, now):
-        while self._order and self._order[0][0] < now - self._keep:
+        while self._order and self._order[0][0] < now - self._retention:
             _, attempt = self._order.popleft()
             self._known.discard(attempt)
 
--- a/whinwinch/repeats.py
+++ b/whinwinch/repeats.py
@@ -1,20 +1,24 @@
-"""Budget of repeats at one backend server, kept without talking.
-
-Load pattern: a service slows down, loses answers or turns part of its work down, and
-every daemon that called it tries again. All daemons together must not cause more
-repeats than a share of the requests, or a service that is short of room is asked
-twice for all of it and stays short.
-
-Every attempt passes the gatekeeper beside the backend server it is meant for, and
-says whether it is a repeat. So each gatekeeper holds its own part: a share of the
-requests that it has seen in a window, and its part of what the operators grant
-besides. The sum over all gatekeepers keeps the bound, with nothing to agree on.
-
-A trouble makes requests break off early, so fewer arrive just when repeats are
-needed: the bound goes by the fullest of the windows until now, and so does the
-budget. What is left of it is spent over half a window. While more is asked for than
-that, the important go first, and among equals whole requests by the hash that all
-daemons share: a request that needs five repeats gains nothing from two.
+"""Budget of repeated attempts at one backend server, kept without coordination.
+
+A repeat is an attempt of a request of which an earlier attempt was already handed to
+a backend server; the first attempt of a request is not a repeat.
+
+Load pattern: a service slows down, loses answers or turns down part of its work, and
+every daemon that called it retries. All daemons together must not cause more repeats
+than a share of the requests. Otherwise a service that lacks capacity receives all of
+its load twice and does not recover.
+
+Every attempt passes the gatekeeper beside its backend server and says whether it is a
+repeat. So each gatekeeper keeps a budget of its own: a share of the requests it
+received within a window, plus its part of the slack that operators allow. The sum over
+all gatekeepers stays within the bound without any agreement between them.
+
+In an outage requests end early, so fewer first attempts arrive just when repeats are
+needed. Both the bound and the budget therefore use the window with the most requests
+among the recent ones. The remaining budget is spent over half a window. If demand for
+repeats is higher than that, the most important requests are repeated first, and among
+equals whole root requests are selected by the hash that all daemons share: a request
+that needs five repeats gains nothing from two.
 """
 
 import math
@@ -22,26 +26,27 @@
 
 from . import admission, messages
 
-# Repeats that are under way when they are counted, and firsts that a restart made
-# forget, leave the count a little behind.
-USED_SHARE = 0.85
-# Parts of a window in which repeats and firsts are counted.
-STEPS = 40
-# Time for which demand for repeats is remembered, in seconds.
-DEMAND_SECONDS = 1.0
-# What is left is spent over this part of a window, if there is demand for all of it.
+# Share of the allowed repeats that is used. The reserve covers repeats that are in
+# flight while they are counted and first attempts forgotten in a restart.
+USABLE_SHARE = 0.85
+# Steps of a window in which repeats and first attempts are counted.
+STEPS_PER_WINDOW = 40
+# Time constant in seconds with which demand for repeats is forgotten.
+DEMAND_DECAY_SECONDS = 1.0
+# Part of a window over which the remaining budget is spent, if demand is high enough.
 SPENDING_SHARE = 0.5
-# The most important that ask have nobody to leave anything for.
+# The same for the highest importance in demand, which need not leave any budget for
+# more important requests.
 TOP_SPENDING_SHARE = 0.2
 
 
 class Terms(NamedTuple):
-    """What operators allow.
+    """Limits on repeats, set by operators.
 
     Attributes:
-        ratio: Repeats for each request of a service.
-        slack: Repeats of a service in a window besides.
-        window: Seconds of a window.
+        ratio: Repeats allowed for each request of a service.
+        slack: Repeats of a service allowed in a window in addition.
+        window: Length of a window in seconds.
     """
 
     ratio: float
@@ -49,21 +54,26 @@
     window: float
 
 
-class Counts:
-    """Events of the last two windows, in steps."""
+class StepCounter:
+    """Number of events in each step of the last two windows, the newest first.
+
+    Args:
+        step: Length of a step in seconds.
+        now: Time of the event loop, in seconds.
+    """
 
     def __init__(self, step, now):
         self._step = step
         self._latest = int(now / step)
-        self._counts = [0] * (2 * STEPS + 1)
+        self._counts = [0] * (2 * STEPS_PER_WINDOW + 1)
 
     def add(self, now, count=1):
-        """Count an event at the present."""
+        """Add a number of events to the current step."""
         self.advance(now)
         self._counts[0] = max(0, self._counts[0] + count)
 
     def advance(self, now):
-        """Let older events move on."""
+        """Shift the counts to the step of `now` and drop the oldest ones."""
         latest = int(now / self._step)
         passed = min(latest - self._latest, len(self._counts))
         if passed > 0:
@@ -72,86 +82,93 @@
             self._latest = latest
 
     def sum(self, first, last):
-        """Return the events from a step ago to another, the latter left out."""
+        """Return the events from `first` up to but not including `last` steps ago."""
         return sum(self._counts[first:last])
 
 
 class RepeatBudget:
-    """Repeats that one gatekeeper lets through.
+    """Budget of repeats that one gatekeeper admits.
 
     Args:
         terms: `Terms`.
-        count_endpoints: Function that returns the endpoints of the service, between
-            which the slack is divided.
-        now: Time of the loop's clock in seconds.
+        count_endpoints: Function that returns the number of endpoints of the
+            service, among which the slack is divided.
+        now: Time of the event loop, in seconds.
     """
 
     def __init__(self, terms, count_endpoints, now):
         self._terms = terms
         self._count_endpoints = count_endpoints
         self._start = now
-        step = terms.window / STEPS
-        self._firsts = Counts(step, now)
-        self._repeats = Counts(step, now)
+        step = terms.window / STEPS_PER_WINDOW
+        self._firsts = StepCounter(step, now)
+        self._repeats = StepCounter(step, now)
         self._demand = [0.0] * len(messages.Importance)
         self._demand_time = now
 
     def note_first(self, now):
-        """Count a request that comes for the first time."""
+        """Count the first attempt of a request."""
         self._firsts.add(now)
 
     def note_caused(self, now):
-        """Count a call of a run that was itself a repeat.
+        """Count a nested call made by an attempt that is itself a repeat.
 
-        It counts as a repeat and isn't refused for that: the run that makes it was
-        let through, and would be lost.
+        The call counts as a repeat but is not refused, because the attempt that makes
+        it was already admitted and its work would be lost.
         """
         self._repeats.add(now)
 
     def take(self, request, now):
-        """Return whether a repeat may go on, and count it."""
-        left = self.find_left(now)
-        self._note_demand(request, now)
-        if left < 1.0:
+        """Return whether a repeat is admitted, and count it if so."""
+        remaining = self.find_left(now)
+        self._record_demand(request, now)
+        if remaining < 1.0:
             return False
-        if messages.rank_request(request) < self._find_level(left):
+        if messages.rank_request(request) < self._find_level(remaining):
             return False
         self._repeats.add(now)
         return True
 
     def give_back(self, now):
-        """Take back a repeat that did not reach the backend server."""
+        """Uncount an admitted repeat that did not reach the backend server."""
         self._repeats.add(now, -1)
 
     def find_left(self, now):
-        """Return how many repeats may still go on in this window."""
+        """Return how many more repeats may be admitted in this window."""
         self._firsts.advance(now)
         self._repeats.advance(now)
         firsts = max(
-            self._firsts.sum(0, STEPS),
-            self._firsts.sum(STEPS // 2, STEPS + STEPS // 2),
-            self._firsts.sum(STEPS, 2 * STEPS),
+            self._firsts.sum(0, STEPS_PER_WINDOW),
+            self._firsts.sum(
+                STEPS_PER_WINDOW // 2, STEPS_PER_WINDOW + STEPS_PER_WINDOW // 2
+            ),
+            self._firsts.sum(STEPS_PER_WINDOW, 2 * STEPS_PER_WINDOW),
         )
         terms = self._terms
-        # A daemon that has just started forgot what it let through before.
-        known = min(1.0, (now - self._start) / terms.window)
-        slack = known * terms.slack / max(1, self._count_endpoints())
-        allowed = USED_SHARE * (terms.ratio * firsts + slack)
-        return allowed - self._repeats.sum(0, STEPS + 1)
-
-    def _note_demand(self, request, now):
-        kept = math.exp((self._demand_time - now) / DEMAND_SECONDS)
-        self._demand = [count * kept for count in self._demand]
+        # A daemon that restarted less than a window ago does not know how many
+        # repeats it admitted before, so it gets only part of the slack.
+        observed_share = min(1.0, (now - self._start) / terms.window)
+        slack = observed_share * terms.slack / max(1, self._count_endpoints())
+        allowed = USABLE_SHARE * (terms.ratio * firsts + slack)
+        return allowed - self._repeats.sum(0, STEPS_PER_WINDOW + 1)
+
+    def _record_demand(self, request, now):
+        decay = math.exp((self._demand_time - now) / DEMAND_DECAY_SECONDS)
+        self._demand = [count * decay for count in self._demand]
         self._demand[request.importance] += 1.0
         self._demand_time = now
 
-    def _find_level(self, left):
-        """Return the rank below which repeats are too many at present."""
-        # One less than counted: a single loss isn't a rate.
-        rates = [max(0.0, count - 1.0) / DEMAND_SECONDS for count in self._demand]
-        supply = left / (SPENDING_SHARE * self._terms.window)
+    def _find_level(self, remaining):
+        """Return the rank below which repeats are refused at present.
+
+        Args:
+            remaining: Repeats that may still be admitted in this window.
+        """
+        # One is subtracted because a single lost request is not a rate.
+        rates = [max(0.0, count - 1.0) / DEMAND_DECAY_SECONDS for count in self._demand]
+        supply = remaining / (SPENDING_SHARE * self._terms.window)
         top = max((i for i, rate in enumerate(rates) if rate > 0.0), default=0)
-        more = [0.0] * len(rates)
-        more[top] = left / (TOP_SPENDING_SHARE * self._terms.window) - supply
-        (level,) = admission.find_levels([(rates, 1)], supply, more)
+        extra = [0.0] * len(rates)
+        extra[top] = remaining / (TOP_SPENDING_SHARE * self._terms.window) - supply
+        (level,) = admission.find_levels([(rates, 1)], supply, extra)
         return level
