--- a/test/test_lifecycle.py
+++ b/test/test_lifecycle.py
@@ -1,26 +1,26 @@
-"""Tests of serving, leaving and stopping."""
+"""Tests for the phases of a daemon: serving, leaving and stopped."""
 
 import unittest
 
 from whinwinch import lifecycle
 from whinwinch.lifecycle import Flight, Lifecycle, Phase, Way
 
-NOTHING = Flight(inward=0, outward=0, last_arrival=0.0)
+IDLE = Flight(inward=0, outward=0, last_arrival=0.0)
 
 
 class LifecycleTest(unittest.TestCase):
     def leave(self, now=100.0, allowed=30.0, last_deadline=0.0):
         return lifecycle.begin_leaving(Lifecycle(), now, allowed, last_deadline)
 
-    def test_a_serving_daemon_takes_everything(self):
+    def test_serving_daemon_accepts_all_work(self):
         for way in Way:
             self.assertTrue(lifecycle.admits(Lifecycle(), way))
 
-    def test_a_leaving_daemon_takes_only_calls_for_what_is_in_flight(self):
-        """An instance is replaced while its backend server answers requests.
+    def test_leaving_daemon_accepts_only_calls_for_requests_in_flight(self):
+        """An instance is replaced while its backend server processes requests.
 
-        New work is refused at once, but the calls that the open requests still
-        need go through, so that nobody's answer is cut off.
+        New work is refused at once, but nested calls of the requests in flight must
+        go through, or these requests would fail.
         """
         leaving = self.leave()
         self.assertFalse(lifecycle.admits(leaving, Way.ENTRY))
@@ -28,44 +28,44 @@
         self.assertTrue(lifecycle.admits(leaving, Way.OUTWARD))
         self.assertTrue(lifecycle.is_leaving(leaving))
 
-    def test_a_draining_backend_server_leaves_its_daemon_an_entry(self):
+    def test_daemon_of_a_draining_backend_server_still_serves_as_entry(self):
         draining = lifecycle.mark_backend(Lifecycle(), True)
         self.assertFalse(lifecycle.admits(draining, Way.INWARD))
         self.assertTrue(lifecycle.admits(draining, Way.ENTRY))
         self.assertTrue(lifecycle.is_leaving(draining))
-        back = lifecycle.mark_backend(draining, False)
-        self.assertTrue(lifecycle.admits(back, Way.INWARD))
+        resumed = lifecycle.mark_backend(draining, False)
+        self.assertTrue(lifecycle.admits(resumed, Way.INWARD))
 
-    def test_it_stops_when_nothing_is_in_flight_in_both_directions(self):
+    def test_stops_when_nothing_is_in_flight_in_either_direction(self):
         leaving = self.leave(last_deadline=125.0)
         busy = Flight(inward=1, outward=0, last_arrival=90.0)
         calling = Flight(inward=0, outward=1, last_arrival=90.0)
         for flight in (busy, calling):
             self.assertEqual(lifecycle.advance(leaving, 110.0, flight), leaving)
-        stopped = lifecycle.advance(leaving, 110.0, NOTHING)
+        stopped = lifecycle.advance(leaving, 110.0, IDLE)
         self.assertIs(stopped.phase, Phase.STOPPED)
         self.assertFalse(lifecycle.admits(stopped, Way.OUTWARD))
 
-    def test_it_stays_while_messages_may_be_on_their_way(self):
-        """A caller sent a payout just before it heard of the leave.
+    def test_keeps_running_while_messages_may_still_arrive(self):
+        """A caller sent a payout just before it learned that the daemon is leaving.
 
-        Closed now, the socket would leave it with an unknown outcome; refused,
-        it is known not to have run.
+        If the socket were closed now, the payout would have an unknown outcome; if
+        the daemon refuses it, it has certainly not run.
         """
         leaving = self.leave()
-        late = NOTHING._replace(last_arrival=101.0)
+        late = IDLE._replace(last_arrival=101.0)
         self.assertIs(lifecycle.advance(leaving, 101.5, late).phase, Phase.LEAVING)
-        done = 101.0 + lifecycle.QUIET
+        done = 101.0 + lifecycle.QUIET_PERIOD
         self.assertIs(lifecycle.advance(leaving, done, late).phase, Phase.STOPPED)
 
-    def test_callers_that_never_learn_do_not_hold_up_the_stop(self):
+    def test_callers_that_keep_sending_do_not_delay_the_stop_forever(self):
         leaving = self.leave(last_deadline=130.0)
-        now = 100.0 + lifecycle.LONGEST_LINGER
-        knocking = NOTHING._replace(last_arrival=now)
-        stopped = lifecycle.advance(leaving, now, knocking)
+        now = 100.0 + lifecycle.MAX_LINGER
+        still_sending = IDLE._replace(last_arrival=now)
+        stopped = lifecycle.advance(leaving, now, still_sending)
         self.assertIs(stopped.phase, Phase.STOPPED)
 
-    def test_the_time_allowed_ends_with_the_settings_or_the_deadlines(self):
+    def test_stop_time_is_limited_by_the_settings_and_the_deadlines(self):
         busy = Flight(inward=2, outward=1, last_arrival=100.0)
         by_settings = self.leave(allowed=5.0, last_deadline=1000.0)
         self.assertEqual(by_settings.until, 105.0)
@@ -74,7 +74,7 @@
         by_deadline = self.leave(allowed=50.0, last_deadline=120.0)
         self.assertEqual(by_deadline.until, 120.0 + lifecycle.ANSWER_GRACE)
 
-    def test_a_second_signal_changes_nothing(self):
+    def test_second_stop_signal_changes_nothing(self):
         leaving = self.leave()
         again = lifecycle.begin_leaving(leaving, 120.0, 30.0, 0.0)
         self.assertEqual(again, leaving)
--- a/whinwinch/flight.py
+++ b/whinwinch/flight.py
@@ -1,13 +1,13 @@
-"""What a daemon has in flight in each direction."""
+"""Counts of the work that a daemon has in flight in each direction."""
 
 from .lifecycle import Flight, Way
 
 
 class FlightCounter:
-    """Counts work in flight.
+    """Counts the requests and calls in flight.
 
-    A planned stop that does not know of a request in flight would cut it off,
-    and its caller would be told "unknown" for no good reason.
+    A planned stop waits for these. A request that is not counted would be cut off,
+    and its caller would receive an unknown outcome that could have been avoided.
     """
 
     def __init__(self):
@@ -16,25 +16,31 @@
         self._last_deadline = 0.0
 
     def start(self, way, now, deadline):
-        """Note an arrival at the loop time `now`."""
+        """Record the arrival of a request or call.
+
+        Args:
+            way: `Way` in which it arrived.
+            now: Time of the event loop, in seconds.
+            deadline: Its deadline, event loop time.
+        """
         self._counts[way] += 1
         self._last_arrival = now
         self._last_deadline = max(self._last_deadline, deadline)
 
     def end(self, way):
-        """Note that something that arrived has been answered."""
+        """Record that a request or call was answered."""
         self._counts[way] -= 1
 
     def count(self, way):
-        """Return what is in flight in one direction."""
+        """Return the number of requests or calls in flight in one direction."""
         return self._counts[way]
 
     @property
     def last_deadline(self):
-        """The latest deadline seen, in seconds of the loop's clock."""
+        """The latest deadline of any arrival so far, event loop time in seconds."""
         return self._last_deadline
 
     def read(self):
-        """Return the `Flight` of the moment."""
+        """Return the present counts as a `Flight`."""
         inward = self._counts[Way.ENTRY] + self._counts[Way.INWARD]
         return Flight(inward, self._counts[Way.OUTWARD], self._last_arrival)
--- a/whinwinch/lifecycle.py
+++ b/whinwinch/lifecycle.py
@@ -1,36 +1,36 @@
-"""Serving, leaving and stopping of a daemon and its backend server.
+"""Phases of a daemon and its backend server: serving, leaving and stopped.
 
-Load pattern: 510 instances are restarted or replaced on an ordinary day, most
-of them under load. Without the leaving phase each restart breaks the requests
-in flight, whose callers are then told unknown, and sends new work to a backend
-server that is about to vanish.
+Load pattern: 510 instances are restarted or replaced on an ordinary day, most of them
+under load. Without the leaving phase each restart would break the requests in flight,
+whose callers would receive an unknown outcome, and new work would be sent to a backend
+server that is about to stop.
 
-A leaving daemon refuses new work as not run, so it can be tried elsewhere, and
-goes on with what is in flight in both directions: requests inside its backend
-server, and calls which that backend server makes to answer them. It stops once
-nothing is in flight and nobody has sent anything for a while, or when the time
+A leaving daemon refuses new work as not run, so that it can be retried at another
+endpoint, and completes the work in flight in both directions: requests inside its
+backend server, and the calls which that backend server makes to answer them. It stops
+when nothing is in flight and no message has arrived for a while, or when the time
 allowed is over.
 """
 
 import enum
 from typing import NamedTuple
 
-# Seconds without any arrival before a leaving daemon may close its sockets. A
-# message that meets a closed socket after it was sent has an unknown outcome;
-# one that meets a daemon that refuses is surely not run. Peers learn of a leave
-# within a few seconds and then send nothing more.
-QUIET = 3.0
+# Seconds without any arrival before a leaving daemon may close its sockets. A request
+# that was sent to a closed socket has an unknown outcome, while one that a running
+# daemon refuses has certainly not run. Peers learn that a daemon is leaving within a
+# few seconds and then send it nothing more.
+QUIET_PERIOD = 3.0
 
-# Seconds after which a daemon with nothing in flight stops although somebody
-# still sends; a caller that never learns would otherwise hold up the stop.
-LONGEST_LINGER = 10.0
+# Seconds after which a daemon with nothing in flight stops although messages still
+# arrive; otherwise a caller that never learns of the stop could delay it forever.
+MAX_LINGER = 10.0
 
-# Seconds after the last deadline in flight in which the answer still goes out.
+# Seconds after the last deadline in flight during which the answer is still sent.
 ANSWER_GRACE = 0.5
 
 
 class Phase(enum.Enum):
-    """Phases of a daemon; it only moves forward through them."""
+    """Phases of a daemon, which only ever moves forward through them."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -38,10 +38,10 @@
 
 
 class Way(enum.Enum):
-    """Ways in which work reaches a daemon.
+    """Directions in which work reaches a daemon.
 
-    ENTRY is a request of an outside caller, INWARD one for the daemon's own
-    backend server, OUTWARD a call that this backend server makes.
+    ENTRY is a request of an outside caller, INWARD one for the daemon's local
+    backend server, OUTWARD a call made by this backend server.
     """
 
     ENTRY = "entry"
@@ -50,11 +50,11 @@
 
 
 class Lifecycle(NamedTuple):
-    """Where a daemon and its backend server stand.
+    """State of a daemon and its backend server.
 
     Attributes:
         phase: Phase of the daemon.
-        backend_leaving: Whether the backend server said that it drains.
+        backend_leaving: Whether the backend server has announced that it drains.
         since: Event loop time at which the daemon began to leave.
         until: Event loop time at which a leaving daemon stops in any case.
         ground: Why it stopped, or "".
@@ -68,12 +68,12 @@
 
 
 class Flight(NamedTuple):
-    """What a daemon has in flight.
+    """Number of requests and calls that a daemon has in flight.
 
     Attributes:
-        inward: Requests taken in and not yet answered, by entry or gatekeeper.
-        outward: Calls of the own backend server not yet answered.
-        last_arrival: Event loop time of the last arrival, refused ones too.
+        inward: Requests accepted by the entry or the gatekeeper and not yet answered.
+        outward: Calls of the local backend server not yet answered.
+        last_arrival: Event loop time of the last arrival, including refused ones.
     """
 
     inward: int
@@ -82,41 +82,41 @@
 
 
 def begin_leaving(lifecycle, now, allowed, last_deadline):
-    """Turn a serving daemon into a leaving one.
+    """Move a serving daemon to the leaving phase.
 
-    A second stop signal changes nothing: it must not extend the time, nor cut
-    off what the first one lets finish.
+    A second stop signal changes nothing: it must neither extend the time allowed nor
+    cut off work that the first one lets finish.
 
     Args:
         lifecycle: The present `Lifecycle`.
         now: Event loop time, in seconds.
         allowed: Seconds that the settings allow for the stop.
-        last_deadline: Latest deadline of what is in flight, event loop time.
+        last_deadline: Latest deadline of the work in flight, event loop time.
 
     Returns:
         The new `Lifecycle`.
     """
     if lifecycle.phase is not Phase.SERVING:
         return lifecycle
-    wanted = max(last_deadline + ANSWER_GRACE, now + QUIET)
+    wanted = max(last_deadline + ANSWER_GRACE, now + QUIET_PERIOD)
     until = min(now + allowed, wanted)
     return lifecycle._replace(phase=Phase.LEAVING, since=now, until=until)
 
 
 def mark_backend(lifecycle, leaving):
-    """Note whether the backend server itself says that it drains."""
+    """Record whether the backend server itself has announced that it drains."""
     return lifecycle._replace(backend_leaving=leaving)
 
 
 def admits(lifecycle, way):
-    """Return whether new work of a way is taken; what isn't is not run.
+    """Return whether new work is accepted; refused work is not run.
 
-    Calls of the own backend server are taken until the stop: they belong to
-    requests in flight, which would fail without them.
+    Calls of the local backend server are accepted until the daemon stops: they belong
+    to requests in flight, which would fail without them.
 
     Args:
         lifecycle: The present `Lifecycle`.
-        way: `Way` by which the work came.
+        way: `Way` in which the work arrived.
     """
     if lifecycle.phase is Phase.STOPPED:
         return False
@@ -128,12 +128,12 @@
 
 
 def is_leaving(lifecycle):
-    """Return whether peers should be told that this endpoint takes no new work."""
+    """Return whether to announce to peers that this endpoint accepts no new work."""
     return lifecycle.phase is not Phase.SERVING or lifecycle.backend_leaving
 
 
 def advance(lifecycle, now, flight):
-    """Move a leaving daemon on to stopped when its time has come.
+    """Move a leaving daemon to the stopped phase if it may stop.
 
     Args:
         lifecycle: The present `Lifecycle`.
@@ -141,7 +141,7 @@
         flight: `Flight` at this time.
 
     Returns:
-        The new `Lifecycle`; the same one where nothing changes.
+        The new `Lifecycle`; the same one if nothing changes.
     """
     if lifecycle.phase is not Phase.LEAVING:
         return lifecycle
@@ -149,13 +149,13 @@
     if not in_flight and is_quiet(lifecycle, now, flight.last_arrival):
         return lifecycle._replace(phase=Phase.STOPPED, ground="nothing in flight")
     if now >= lifecycle.until:
-        ground = f"time allowed is over, {in_flight} in flight"
+        ground = f"stop time limit reached, {in_flight} in flight"
         return lifecycle._replace(phase=Phase.STOPPED, ground=ground)
     return lifecycle
 
 
 def is_quiet(lifecycle, now, last_arrival):
-    """Return whether no message is likely to be on its way to a leaving daemon.
+    """Return whether no more messages are expected to reach a leaving daemon.
 
     Args:
         lifecycle: The present `Lifecycle`, leaving.
@@ -163,4 +163,4 @@
         last_arrival: Event loop time of the last arrival.
     """
     started = max(lifecycle.since, last_arrival)
-    return now - started >= QUIET or now - lifecycle.since >= LONGEST_LINGER
+    return now - started >= QUIET_PERIOD or now - lifecycle.since >= MAX_LINGER
--- a/whinwinch/running.py
+++ b/whinwinch/running.py
@@ -1,7 +1,7 @@
-"""Requests inside the own backend server, found again by its outgoing calls.
+"""Attempts that are being processed by the local backend server.
 
-A backend server hands on nothing but the request id. What else has to travel
-(deadline, importance, path) is looked up here.
+A backend server passes on only the request id with its outgoing calls. The other
+properties that nested calls inherit (deadline, importance, path) are looked up here.
 """
 
 from typing import NamedTuple
@@ -9,14 +9,14 @@
 from . import messages
 
 
-class Below(NamedTuple):
-    """What the calls below an attempt have met.
+class NestedCalls(NamedTuple):
+    """Summary of the answered nested calls of an attempt.
 
     Attributes:
-        calls: Calls that have been answered.
-        level: Highest admission level.
-        refused: Whether one of them ended as refused or unknown.
-        retry_after: Longest time to come back that they named, in seconds.
+        calls: Number of calls that have been answered.
+        level: Highest admission level reported by an answer.
+        refused: Whether any call ended as refused or unknown.
+        retry_after: Longest retry delay named by an answer, in seconds.
     """
 
     calls: int = 0
@@ -26,41 +26,41 @@
 
 
 class Running:
-    """Attempts inside the own backend server."""
+    """Attempts that are being processed by the local backend server."""
 
     def __init__(self):
         self._requests = {}
-        self._below = {}
+        self._nested_calls = {}
 
     def start(self, request):
-        """Note that an attempt is handed to the backend server."""
+        """Record that an attempt is handed to the backend server."""
         self._requests[request.attempt] = request
-        self._below[request.attempt] = Below()
+        self._nested_calls[request.attempt] = NestedCalls()
 
     def find(self, attempt):
-        """Return the request of an attempt, or None when it isn't inside."""
+        """Return the request of an attempt, or None if it is not being processed."""
         return self._requests.get(attempt)
 
     def note_answer(self, attempt, answer):
-        """Note the end of a call that an attempt has made."""
-        below = self._below.get(attempt)
-        if below is not None:
-            self._below[attempt] = _merge_below(below, answer)
+        """Record the answer to a nested call of an attempt."""
+        nested_calls = self._nested_calls.get(attempt)
+        if nested_calls is not None:
+            self._nested_calls[attempt] = _add_answer(nested_calls, answer)
 
     def finish(self, attempt):
-        """Forget an attempt and return what the calls below it have met."""
+        """Forget an attempt and return its `NestedCalls`."""
         self._requests.pop(attempt, None)
-        return self._below.pop(attempt, Below())
+        return self._nested_calls.pop(attempt, NestedCalls())
 
     def __len__(self):
         return len(self._requests)
 
 
-def _merge_below(below, answer):
+def _add_answer(nested_calls, answer):
     refused = answer.outcome is not messages.Outcome.COMPLETED or answer.deeper
-    return Below(
-        calls=below.calls + 1,
-        level=max(below.level, answer.load.level, answer.load.below),
-        refused=below.refused or refused,
-        retry_after=max(below.retry_after, answer.retry_after),
+    return NestedCalls(
+        calls=nested_calls.calls + 1,
+        level=max(nested_calls.level, answer.load.level, answer.load.below),
+        refused=nested_calls.refused or refused,
+        retry_after=max(nested_calls.retry_after, answer.retry_after),
     )
