--- a/whinwinch/retries.py
+++ b/whinwinch/retries.py
@@ -9,7 +9,7 @@
 part of the attempt's budget to the child attempt; the child's answer returns the
 unused part. Each retry is spent from exactly one budget and none is ever created, so
 the total over the whole call tree stays within the root's number even when messages
-are lost. A lost message can lose retries but never exceed the bound.
+are lost. Lost messages can waste retries but never cause more than the bound.
 
 The constants and rules are explained further in ``docs/design/retries.md``.
 """
