--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, cuts, pauses and mass restarts, without sockets."""
+"""Tests of the membership under message loss, network cuts, pauses and restarts."""
 
 import random
 import unittest
@@ -14,15 +14,15 @@
 INTERVALS = 120
 
 
-def count_states(mesh, daemon):
-    found = [member.get(daemon) for member in mesh.values()]
-    return {member.state if member else None for member in found}
+def find_states(mesh, daemon):
+    members = [each.get(daemon) for each in mesh.values()]
+    return {member.state if member else None for member in members}
 
 
 def run_until(
     mesh, now, is_done, reaches=lambda sender, receiver: True, intervals=INTERVALS
 ):
-    """Run rounds until `is_done()`; return the time then."""
+    """Run rounds until `is_done()` and return the time of the last one, in seconds."""
     for _ in range(intervals):
         if is_done():
             return now
@@ -31,12 +31,12 @@
     raise AssertionError(f"not done after {intervals} intervals")
 
 
-def lose(share, seed=1):
+def build_lossy_network(share, seed=1):
     source = random.Random(seed)
     return lambda sender, receiver: source.random() >= share
 
 
-def cut_between(find_side):
+def build_cut_network(find_side):
     def reaches(sender, receiver):
         return find_side(sender) == find_side(receiver)
 
@@ -52,15 +52,15 @@
             mesh,
             0.0,
             lambda: all(m.find_endpoints("catalog") for m in mesh.values()),
-            lose(0.1),
+            build_lossy_network(0.1),
         )
         self.assertLess(rounds_taken, 20)
 
-    def test_digests_bring_what_rumours_lost(self):
-        """A rumour dies out before it has reached everyone.
+    def test_digests_recover_lost_rumours(self):
+        """A rumour is sent the maximum number of times before all have received it.
 
-        A daemon that missed it would send calls to a service's former
-        endpoint for ever. Comparing digests finds the difference.
+        A daemon that missed it would keep sending calls to a service's former
+        endpoint. Comparing digests finds the difference.
         """
         mesh = rounds.build_mesh(20, ZONES)
         daemons = list(mesh.values())
@@ -74,7 +74,7 @@
             lambda: all(m.find_endpoints("catalog") for m in mesh.values()),
         )
 
-    def test_leaving_is_marked_and_gone_is_forgotten(self):
+    def test_leaving_is_marked_and_gone_member_is_forgotten(self):
         mesh = rounds.build_mesh(12, ZONES, services=4)
         first = next(iter(mesh.values()))
         endpoint = first.own.endpoint
@@ -86,19 +86,19 @@
         )
         first.leave(now)
         now = run_until(
-            mesh, now, lambda: count_states(mesh, endpoint.daemon) == {State.GONE}
+            mesh, now, lambda: find_states(mesh, endpoint.daemon) == {State.GONE}
         )
         del mesh[endpoint.daemon]
-        rounds.run_round(mesh, now + membership.Settings().tombstone + 1)
-        rounds.run_round(mesh, now + membership.Settings().tombstone + 2)
-        self.assertEqual(count_states(mesh, endpoint.daemon), {None})
+        rounds.run_round(mesh, now + membership.Settings().tombstone_ttl + 1)
+        rounds.run_round(mesh, now + membership.Settings().tombstone_ttl + 2)
+        self.assertEqual(find_states(mesh, endpoint.daemon), {None})
 
     def test_no_message_is_larger_than_allowed(self):
         mesh = rounds.build_mesh(100, ZONES, services=20)
         daemons = list(mesh.values())
         for daemon in daemons[:80]:
             daemon.announce("catalog", 7, False, 0.0)
-        allowed = membership.Settings().message_bytes
+        allowed = membership.Settings().max_message_bytes
         rounds.run_round(mesh, 1.0)
         for daemon in daemons:
             sent = daemon.take_rumours(1.5)
@@ -113,52 +113,55 @@
     def test_rumours_keep_to_their_rate_in_a_mass_restart(self):
         """Hundreds of daemons of a zone restart at once.
 
-        Each has much to tell; unbounded, gossip would take the network and
-        processor time that the callers' requests need.
+        Each change becomes a rumour. Without a rate limit, gossip would take the
+        network and processor time that the callers' requests need.
         """
-        figures = membership.Settings(rumour_rate=500.0, rumour_burst=2_000.0)
-        mesh = rounds.build_mesh(100, ZONES, settings=figures)
+        parameters = membership.Settings(rumour_rate=500.0, rumour_burst=2_000.0)
+        mesh = rounds.build_mesh(100, ZONES, settings=parameters)
         for daemon in list(mesh.values())[:50]:
             daemon.announce("catalog", 7, False, 0.0)
         sizes = [
             rounds.run_round(mesh, float(now)).member_bytes / len(mesh)
             for now in range(1, 31)
         ]
-        self.assertLess(sum(sizes), 2_000 + 30 * 500 + figures.message_bytes)
+        self.assertLess(sum(sizes), 2_000 + 30 * 500 + parameters.max_message_bytes)
 
 
 class FailureTest(unittest.TestCase):
-    def test_dead_daemon_is_taken_out_everywhere(self):
-        """An instance fails without a word.
+    def test_dead_daemon_is_evicted_everywhere(self):
+        """An instance fails without announcing that it leaves.
 
-        Calls to it fail one by one until everyone knows.
+        Calls to it fail until every daemon has evicted it.
         """
         mesh = rounds.build_mesh(40, ZONES, services=8)
         victim = list(mesh)[7]
         del mesh[victim]
         now = run_until(
-            mesh, 0.0, lambda: count_states(mesh, victim) == {State.GONE}, lose(0.02)
+            mesh,
+            0.0,
+            lambda: find_states(mesh, victim) == {State.GONE},
+            build_lossy_network(0.02),
         )
         self.assertLess(now, 60)
 
     def test_healthy_daemons_survive_loss(self):
         """The network loses every tenth message for minutes.
 
-        Taking daemons out for lost probes would shrink services that have all
-        their endpoints.
+        Evicting daemons for lost probes would take endpoints from services
+        although all of them work.
         """
         mesh = rounds.build_mesh(40, ZONES)
-        reaches = lose(0.1)
+        reaches = build_lossy_network(0.1)
         for now in range(1, INTERVALS):
             rounds.run_round(mesh, float(now), reaches)
             for daemon in mesh.values():
                 gone = [m for m in daemon.members() if m.state is State.GONE]
                 self.assertEqual(gone, [])
 
-    def test_one_broken_path_takes_nobody_out(self):
-        """Two daemons can't reach each other, while everyone else reaches both.
+    def test_one_broken_path_evicts_nobody(self):
+        """Two daemons can't reach each other, while all others reach both.
 
-        One of them alone must not have the other taken out.
+        Neither may evict the other on its own observation alone.
         """
         mesh = rounds.build_mesh(9, ZONES)
         one, other = list(mesh)[:2]
@@ -171,12 +174,12 @@
         for daemon in mesh.values():
             self.assertTrue(all(m.state is State.ALIVE for m in daemon.members()))
 
-    def test_paused_daemon_comes_back_and_blames_nobody(self):
-        """A daemon stands still for minutes and resumes unaware.
+    def test_paused_daemon_comes_back_and_evicts_nobody(self):
+        """A daemon is paused for minutes and resumes without noticing.
 
-        The others have taken it out. It must get work again, and must not take
-        out those whose answers it has missed, nor those that it held suspect
-        and that could not contradict meanwhile.
+        The others have evicted it. It must receive requests again, and must not
+        evict those whose answers it missed, nor those that it suspected and that
+        could not refute the suspicion during the pause.
         """
         mesh = rounds.build_mesh(12, ZONES)
         paused, resumed = list(mesh.items())[3]
@@ -184,7 +187,7 @@
         for other in list(mesh)[8:]:
             resumed.deny(other, 0.0)
         del mesh[paused]
-        now = run_until(mesh, 0.0, lambda: count_states(mesh, paused) == {State.GONE})
+        now = run_until(mesh, 0.0, lambda: find_states(mesh, paused) == {State.GONE})
         for other in list(mesh)[:6]:
             resumed.missed(other, now)
         mesh[paused] = resumed
@@ -202,11 +205,11 @@
         self.assertTrue(all_alive())
         self.assertGreater(resumed.own.version, 1)
 
-    def test_other_daemon_at_the_address_takes_the_former_one_out(self):
+    def test_other_daemon_at_the_address_evicts_the_former_one(self):
         """An instance restarts within a second and gets the same address.
 
-        Its former identifier still stands for a service there; calls would go
-        to whatever now listens.
+        Its former identifier is still listed for a service at that address, so
+        calls would go to whichever service listens there now.
         """
         mesh = rounds.build_mesh(5)
         first, second = list(mesh.values())[:2]
@@ -215,18 +218,18 @@
 
     def test_two_daemons_have_no_helper(self):
         mesh = rounds.build_mesh(2)
-        left, right = mesh
-        del mesh[right]
-        run_until(mesh, 0.0, lambda: count_states(mesh, right) == {State.GONE})
-        self.assertEqual(len(mesh[left]), 1)
+        survivor, victim = mesh
+        del mesh[victim]
+        run_until(mesh, 0.0, lambda: find_states(mesh, victim) == {State.GONE})
+        self.assertEqual(len(mesh[survivor]), 1)
 
 
 class CutTest(unittest.TestCase):
-    def test_regions_keep_each_other_and_heal_by_themselves(self):
+    def test_regions_keep_each_other_and_reconnect_without_the_log(self):
         """Two regions lose each other for ten minutes, and the log is down too.
 
-        Afterwards each has to send work to the other again without anybody
-        doing anything, and meanwhile calls should go to the own region.
+        During the cut, calls should stay in the local region. Afterwards each
+        region has to send requests to the other again without intervention.
         """
         mesh = rounds.build_mesh(40, zones=4, regions=2, services=4)
         for daemon in mesh.values():
@@ -236,7 +239,7 @@
             0.0,
             lambda: all(len(m.find_endpoints("catalog")) == 40 for m in mesh.values()),
         )
-        reaches = cut_between(lambda endpoint: endpoint.region)
+        reaches = build_cut_network(lambda endpoint: endpoint.region)
         now = run_until(
             mesh,
             now,
@@ -254,11 +257,11 @@
             lambda: all(len(m.find_endpoints("catalog")) == 40 for m in mesh.values()),
         )
 
-    def test_one_region_of_four_is_soon_known_to_be_cut_off(self):
+    def test_one_unreachable_region_of_four_is_soon_detected(self):
         """One of four regions is cut off.
 
-        A daemon whose only far partner is in another region must not go on
-        placing calls in the lost one for minutes.
+        A daemon whose only far partner is in one of the other regions must not
+        continue for minutes to place calls in the unreachable one.
         """
         mesh = rounds.build_mesh(48, zones=8, regions=4)
         run_until(
@@ -269,19 +272,20 @@
                 for m in mesh.values()
                 if m.own.endpoint.region != "region-0"
             ),
-            cut_between(lambda endpoint: endpoint.region == "region-0"),
+            build_cut_network(lambda endpoint: endpoint.region == "region-0"),
             intervals=100,
         )
 
-    def test_region_is_forgotten_after_long_and_found_again(self):
-        """A region is cut off for longer than it is remembered.
+    def test_region_is_forgotten_after_long_cut_and_found_again(self):
+        """A region is cut off for longer than `region_ttl`.
 
-        Each side forgets the other, at slightly different moments, and must
-        not bring it back from hearsay; after the cut they find each other.
+        The daemons of each side forget the other side at slightly different
+        moments, and must not reintroduce it to each other by gossip. After the
+        cut both sides find each other.
         """
-        figures = membership.Settings(region_time=120.0)
-        mesh = rounds.build_mesh(12, zones=2, regions=2, settings=figures)
-        reaches = cut_between(lambda endpoint: endpoint.region)
+        parameters = membership.Settings(region_ttl=120.0)
+        mesh = rounds.build_mesh(12, zones=2, regions=2, settings=parameters)
+        reaches = build_cut_network(lambda endpoint: endpoint.region)
         now = run_until(
             mesh, 0.0, lambda: {len(m) for m in mesh.values()} == {12}, reaches
         )
@@ -292,13 +296,13 @@
         run_until(mesh, now, lambda: {len(m) for m in mesh.values()} == {12})
 
     def test_zone_cut_off_within_the_region_comes_back(self):
-        """A switch fails and a zone is alone for minutes.
+        """A switch fails and isolates a zone for minutes.
 
-        Both sides take each other out. Nobody reads the log, so they must find
-        each other by probing those who went without leaving.
+        Both sides evict each other. Nobody reads the log, so they must find each
+        other by probing evicted members.
         """
         mesh = rounds.build_mesh(18, ZONES)
-        reaches = cut_between(lambda endpoint: endpoint.zone == "zone-0")
+        reaches = build_cut_network(lambda endpoint: endpoint.zone == "zone-0")
         now = run_until(
             mesh,
             0.0,
@@ -321,11 +325,11 @@
 class ScheduleTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=25, deadline=None)
     @given(FAULTS)
-    def test_any_faults_end_with_all_knowing_who_is_there(self, faults):
-        """Daemons die, stand still and are cut off in any order.
+    def test_membership_converges_after_any_faults(self, faults):
+        """Daemons die, are paused and are cut off in any order.
 
-        When it is over, a daemon that others don't know gets no work although
-        it serves, and one that is dead gets calls that fail.
+        If some tables stayed wrong afterwards, a live daemon missing from them
+        would receive no requests, and calls sent to a dead one would fail.
         """
         mesh = rounds.build_mesh(12, ZONES)
         names = list(mesh)
@@ -350,14 +354,16 @@
             for _ in range(intervals):
                 now += 1.0
                 rounds.run_round(
-                    mesh, now, cut_between(lambda e: e.zone if e.zone in cut else "")
+                    mesh,
+                    now,
+                    build_cut_network(lambda e: e.zone if e.zone in cut else ""),
                 )
         mesh.update(paused)
-        run_until(mesh, now, lambda: is_settled(mesh, dead), intervals=400)
+        run_until(mesh, now, lambda: is_converged(mesh, dead), intervals=400)
 
 
-def is_settled(mesh, dead):
-    """Tell whether all know the living as they are, and nobody knows others."""
+def is_converged(mesh, dead):
+    """Return whether every table has all live daemons up to date and no dead ones."""
     for member in mesh.values():
         for daemon, other in mesh.items():
             if member.get(daemon) != other.own:
@@ -377,7 +383,7 @@
             rounds.build_endpoint(number), random.Random(number)
         )
 
-    def test_contact_from_the_log_is_no_member(self):
+    def test_contact_from_the_log_is_not_a_member(self):
         newcomer = self.build_newcomer()
         contact = rounds.build_endpoint(5)._replace(service="archive")
         newcomer.load_join(contact)
@@ -399,11 +405,11 @@
         self.assertEqual(len(newcomer), 301)
         self.assertGreater(pages, 2)
 
-    def test_newcomer_does_not_pass_for_the_whole_list(self):
-        """Daemons that start together ask each other for the list.
+    def test_newcomers_list_is_not_accepted_as_complete(self):
+        """Daemons that start together request the member list from each other.
 
-        One that took a newcomer's few members for all would answer
-        "no endpoint" for services that are there.
+        A daemon that accepted a newcomer's few members as the whole list would
+        answer "no endpoint" for services that have endpoints.
         """
         other = self.build_newcomer(1001)
         newcomer = self.build_newcomer()
@@ -414,23 +420,23 @@
         newcomer.take_page(other.give_page(0, 0.0), 0.0)
         self.assertEqual(newcomer.next_page, membertable.BUCKETS)
 
-    def test_pages_are_refused_when_too_many_ask(self):
-        """A zone of hundreds of daemons restarts and all want the list.
+    def test_pages_are_refused_above_the_page_budget(self):
+        """A zone of hundreds of daemons restarts and all request the member list.
 
-        A peer that served them all would spend its processor time on it.
+        A peer that served them all would spend its processor time on that.
         """
         peer = next(iter(rounds.build_mesh(150, ZONES).values()))
-        figures = peer.settings
-        given = 0
+        parameters = peer.settings
+        sent_bytes = 0
         for number in range(400):
             page = peer.give_page(0, number / 100)
-            given += sum(map(membership.estimate_bytes, page.members))
+            sent_bytes += sum(map(membership.estimate_bytes, page.members))
             if not page.members:
                 self.assertEqual(page.next_bucket, 0)
-        largest = figures.page_burst + 4 * figures.page_rate + 20_000
-        self.assertLess(given, largest)
+        largest = parameters.page_burst + 4 * parameters.page_rate + 20_000
+        self.assertLess(sent_bytes, largest)
 
-    def test_bad_news_of_a_stranger_are_ignored(self):
+    def test_failures_of_an_unknown_daemon_are_ignored(self):
         newcomer = self.build_newcomer()
         stranger = messages.Endpoint("ff", "")
         news = [Member(stranger, State.SUSPECT), Member(stranger, State.GONE)]
--- a/test/test_membertable.py
+++ b/test/test_membertable.py
@@ -1,4 +1,4 @@
-"""The member table: index by service, digests, precedence of news."""
+"""Tests of the member table: service index, digests, precedence of updates."""
 
 import random
 import unittest
@@ -54,26 +54,26 @@
             fresh.find_digests(0, membertable.BUCKETS),
         )
 
-    def test_suspects_are_left_out_while_others_are_left(self):
+    def test_suspects_are_excluded_while_others_remain(self):
         table = membertable.MemberTable()
-        sound = build_member("a")
+        healthy = build_member("a")
         suspect = build_member("b", state=State.SUSPECT)
-        table.put(sound)
+        table.put(healthy)
         table.put(suspect)
-        self.assertEqual(table.find_endpoints("catalog"), (sound.endpoint,))
+        self.assertEqual(table.find_endpoints("catalog"), (healthy.endpoint,))
         table.remove("a")
         self.assertEqual(table.find_endpoints("catalog"), (suspect.endpoint,))
 
-    def test_regions_cut_off_are_left_out_while_others_are_left(self):
+    def test_unreachable_regions_are_excluded_while_others_remain(self):
         table = membertable.MemberTable()
         near, far = build_member("a"), build_member("b", region="s")
         table.put(near)
         table.put(far)
-        table.hide_regions({"s"})
+        table.exclude_regions({"s"})
         self.assertEqual(table.find_endpoints("catalog"), (near.endpoint,))
-        table.hide_regions(())
+        table.exclude_regions(())
         self.assertEqual(len(table.find_endpoints("catalog")), 2)
-        table.hide_regions({"r", "s"})
+        table.exclude_regions({"r", "s"})
         self.assertEqual(len(table.find_endpoints("catalog")), 2)
 
     def test_gone_members_have_no_endpoint(self):
--- a/whinwinch/memberplan.py
+++ b/whinwinch/memberplan.py
@@ -1,4 +1,4 @@
-"""What the membership is set to, tells, and has done by others."""
+"""Settings, table changes and instructions of the membership state machine."""
 
 from typing import NamedTuple
 
@@ -7,65 +7,74 @@
 
 
 class Settings(NamedTuple):
-    """Figures of the membership; times are in seconds, sizes in bytes.
+    """Parameters of the membership; times are in seconds, sizes in bytes.
 
     Attributes:
-        interval: Between two probes. One a second finds a dead member in about
-            the time that callers need to notice by themselves.
-        near_partners: Partners in the own zone.
-        region_partners: Partners in other zones of the region.
-        far_partners: Partners in other regions. Eight partners in all make a
-            random graph that stays connected when half of the members are
-            dead, and five in eight messages stay in the zone.
-        rotation: Between two exchanges of a partner. The chance that nobody
-            probes a member is e^-8; exchange ends that state within minutes.
-        helpers: Members asked to repeat a failed probe.
-        direct_misses: Failed probes in a row before a member is suspected
-            where nobody else is in the region to help.
-        suspicion: Time to contradict a suspicion, for ten members; grows with
-            the logarithm of their number, as the way of a rumour does.
-        tombstone: How long it is remembered that a member is gone. Longer than
-            any rumour is on the way, so that an old one can't bring it back.
-        region_time: How long the members of a region are kept of which nothing
-            is heard. Regions lose each other for minutes.
-        cut_misses: Failed probes of a region without an answer from it before
-            its endpoints are left out.
-        message_bytes: Most bytes of members in one message: one TCP segment.
-        rumour_rate: Bytes of members a second that are sent on average, and
-            `rumour_burst` at once. They keep a restart of a whole zone within
-            the 3 KB/s that control may use.
-        page_rate: Bytes a second of pages given to daemons that have just
-            started, and `page_burst` at once. A page is answered or refused
-            whole, and who is refused asks another.
-        page_members: Members on one page.
-        contacts: Members remembered from the log, to reach the mesh through.
+        interval: Time between two probes. At one a second a dead member is
+            detected in about the time that callers need to notice it
+            themselves.
+        near_partners: Number of partners in this daemon's availability zone.
+        region_partners: Number of partners in other zones of its region.
+        far_partners: Number of partners in other regions. Eight partners in
+            all form a random graph that stays connected when half of the
+            members are dead, and five in eight messages stay in the zone.
+        rotation_interval: Mean time between two replacements of a partner. The
+            chance that nobody probes a given member is e^-8; rotation ends that
+            state within minutes.
+        helpers: Number of members that are asked to repeat a failed probe.
+        suspect_after_misses: Consecutive failed probes before a member is
+            suspected when the region has no other member to confirm it.
+        suspicion_timeout: Time that a suspected member has to refute the
+            suspicion, in a mesh of up to ten members. It grows with the
+            logarithm of their number, as the time to spread a rumour does.
+        tombstone_ttl: Time for which a gone member is remembered. Longer than
+            any rumour is in transit, so that a stale one can't bring the member
+            back.
+        region_ttl: Time for which the members of a silent region are kept.
+            Regions can lose each other for minutes.
+        unreachable_after_misses: Members of a region that have failed a probe,
+            with no answer from that region since, before its endpoints are
+            excluded.
+        max_message_bytes: Maximum size of the members in one message: one TCP
+            segment.
+        rumour_rate: Bytes of members that may be sent per second on average.
+        rumour_burst: Bytes of members that may be sent at once. Together with
+            the rate it keeps the restart of a whole zone within the 3 KB/s
+            that control traffic may use.
+        page_rate: Bytes of member list pages per second sent to daemons that
+            have just started.
+        page_burst: Bytes of member list pages that may be sent at once. A page
+            is sent whole or refused, and a refused daemon asks another one.
+        page_members: Number of members at which a page is full.
+        max_contacts: Maximum number of daemons remembered from the log as
+            contacts for reaching the mesh.
     """
 
     interval: float = 1.0
     near_partners: int = 5
     region_partners: int = 2
     far_partners: int = 1
-    rotation: float = 10.0
+    rotation_interval: float = 10.0
     helpers: int = 3
-    direct_misses: int = 3
-    suspicion: float = 5.0
-    tombstone: float = 900.0
-    region_time: float = 3600.0
-    cut_misses: int = 3
-    message_bytes: int = 1200
+    suspect_after_misses: int = 3
+    suspicion_timeout: float = 5.0
+    tombstone_ttl: float = 900.0
+    region_ttl: float = 3600.0
+    unreachable_after_misses: int = 3
+    max_message_bytes: int = 1200
     rumour_rate: float = 800.0
     rumour_burst: float = 24_000.0
     page_rate: float = 5_000.0
     page_burst: float = 50_000.0
     page_members: int = 100
-    contacts: int = 64
+    max_contacts: int = 64
 
 
 class Change(NamedTuple):
-    """A change of the table that others may want to act on.
+    """A change to the member table that other components may react to.
 
     Attributes:
-        member: What is now known.
+        member: The member after the change.
         joined: Whether the member was not present before.
     """
 
@@ -74,7 +83,12 @@
 
 
 class Digests(NamedTuple):
-    """Digests of neighbouring buckets, from bucket `first` on."""
+    """Digests of consecutive buckets.
+
+    Attributes:
+        first: Index of the first bucket.
+        values: The digests, in bucket order, wrapping round at the end.
+    """
 
     first: int
     values: tuple[int, ...]
@@ -85,8 +99,10 @@
 
     Attributes:
         members: The members of whole buckets.
-        next_bucket: Where the next page starts; unchanged when this daemon has
-            given too many pages lately, and `membertable.BUCKETS` at the end.
+        next_bucket: Bucket at which the next page starts. It is the requested
+            bucket again when the sender doesn't have the whole list or has sent
+            too many pages recently, and `membertable.BUCKETS` after the last
+            page.
     """
 
     members: tuple[Member, ...]
@@ -94,7 +110,14 @@
 
 
 class Probe(NamedTuple):
-    """Instruction: send gossip to a daemon and see whether it answers."""
+    """Instruction to send gossip to a daemon and record whether it answers.
+
+    Attributes:
+        daemon: Identifier of the daemon to probe.
+        address: Its address.
+        members: Rumours to send along.
+        digests: Digests of some buckets, for the receiver to compare.
+    """
 
     daemon: str
     address: str
@@ -103,12 +126,12 @@
 
 
 class ProbeVia(NamedTuple):
-    """Instruction: let helpers probe a daemon that didn't answer.
+    """Instruction to have helpers probe a daemon that didn't answer.
 
     Attributes:
-        daemon: The daemon in doubt.
+        daemon: Identifier of the daemon to probe.
         address: Its address.
-        helpers: Endpoints of the members to ask.
+        helpers: Endpoints of the members that are asked to probe it.
     """
 
     daemon: str
--- a/whinwinch/membership.py
+++ b/whinwinch/membership.py
@@ -1,28 +1,27 @@
-"""Who is there: membership by gossip, as a state machine without sockets.
-
-The load pattern: thousands of daemons of which a few change each minute, now
-and then five hundred at once, and regions that lose each other for minutes.
-
-Each daemon probes one partner each interval and sends along what it has
-recently learnt (rumours). The partners are a handful of members, most of them
-in its own availability zone, which are exchanged one at a time, so that the
-connections to them can be kept. Since everybody probes one member an interval,
-the cost for a daemon doesn't depend on how many there are. Without this, a
-daemon that kept watch on all of 4,500 would send and answer 9,000 probes each
-interval.
-
-A probe that fails is repeated by helpers. Only when a helper bears out that
-the member doesn't answer is it suspected, and the suspicion is a rumour that
-the member can contradict by raising its version. Without helpers one broken
-path, or one slow daemon, would take healthy members out.
-
-Only a member's own region takes it out. When regions lose each other, each
-keeps the other's members, leaves their endpoints out while it has others, and
-goes on probing them, so that the mesh heals by itself. The same holds for a
-part of a region that was cut off: who is gone without having left is still
-probed now and then.
-
-Grounds for the figures in `memberplan.Settings` stand with them.
+"""Gossip membership of the mesh, as a state machine that does no I/O.
+
+Load pattern: thousands of daemons, of which a few change per minute and now and
+then five hundred at once, and regions that lose each other for minutes.
+
+In each interval, each daemon probes one partner and sends recent membership
+updates (rumours) along. The partners are a handful of members, most of them in
+its own availability zone. They are replaced one at a time, so that connections
+to them can be kept. Since every daemon probes one member per interval, the cost
+for a daemon doesn't depend on the size of the mesh. A daemon that watched all of
+4,500 members would send and answer 9,000 probes per interval.
+
+A failed probe is repeated by helpers. A member is suspected only when a helper
+confirms that it doesn't answer. The suspicion spreads as a rumour, which the
+member can refute by raising its version. Without helpers, one broken path or one
+slow daemon would evict healthy members.
+
+A member is evicted only by daemons of its own region. When regions lose each
+other, each keeps the members of the other, excludes their endpoints as long as it
+has others, and continues to probe them, so that the mesh recovers without
+intervention. Likewise for a part of a region that was cut off: members that are
+gone without having left are still probed occasionally.
+
+The parameters and the reasons for their values are in `memberplan.Settings`.
 """
 
 import collections
@@ -32,113 +31,119 @@
 from .memberplan import Change, Digests, MemberPage, Probe, ProbeVia, Settings
 from .membertable import Member, State, supersedes
 from .partners import Partners
-from .rumours import Budget, Rumours, estimate_bytes
-
-# Digests sent along with each probe: all buckets are compared in 32 probes,
-# for 32 bytes a probe.
-DIGESTS = 8
-# A probe in so many goes to a member that is gone, or to a contact from the
-# log that isn't known, to find a part of the mesh that was cut off.
-RECONNECT_PROBES = 8
-# Members of a region that is forgotten whose addresses are kept.
-REMEMBERED_ENDPOINTS = 8
-# Joins are counted over so many seconds, up to so many.
-RECENT = 60.0
-MOST_JOINS = 1000
-# With more rumours than this waiting, digests aren't answered: about what fits
-# into one message.
-BUSY_RUMOURS = 16
-# A planning call that comes so many intervals late means that this daemon was
-# paused; what it holds against others is worth nothing then.
+from .rumours import Rumours, TokenBucket, estimate_bytes
+
+# Digests sent with each probe: 32 probes compare all buckets, at 32 bytes per
+# probe.
+DIGESTS_PER_PROBE = 8
+# One in this many probes goes to an evicted member, or to a contact from the log
+# that isn't a member, to find a part of the mesh that was cut off.
+PROBES_PER_RECONNECT = 8
+# Members of a forgotten region whose endpoints are kept for probing it again.
+MAX_REGION_CONTACTS = 8
+# Window in seconds over which joins are counted, and the maximum count.
+JOIN_WINDOW = 60.0
+MAX_COUNTED_JOINS = 1000
+# With more rumours than this pending, digests aren't answered: about as many as
+# fit into one message.
+MAX_RUMOURS_FOR_COMPARISON = 16
+# A planning call this many intervals after the previous one means that this
+# daemon was paused, so that the failures it has recorded are meaningless.
 PAUSED_INTERVALS = 5
 
 
 class Membership:
-    """What one daemon knows of the mesh. One task owns it.
+    """The members of the mesh as this daemon knows them; used by a single task.
 
-    `find_endpoints` alone may be called from other threads.
+    Only `find_endpoints` may be called from other threads.
 
     Args:
-        endpoint: This daemon.
+        endpoint: `messages.Endpoint` of this daemon.
         random: A `random.Random`.
-        settings: Figures.
-        table: A `membertable.MemberTable` that is already known.
+        settings: `Settings`, or None for the defaults.
+        table: `membertable.MemberTable` to start from, or None for an empty one.
     """
 
     def __init__(self, endpoint, random, settings=None, table=None):
         self.settings = settings or Settings()
         self._random = random
-        self._own = Member(endpoint)
+        self._local = Member(endpoint)
         self._table = table or membertable.MemberTable()
-        figures = self.settings
-        budget = Budget(figures.rumour_rate, figures.rumour_burst)
-        self._rumours = Rumours(self._table, budget, figures.message_bytes)
-        self._partners = Partners(endpoint, self._table, random, figures)
-        self._doubts = {}
-        self._misses = {}
-        self._suspects = {}
+        parameters = self.settings
+        budget = TokenBucket(parameters.rumour_rate, parameters.rumour_burst)
+        self._rumours = Rumours(self._table, budget, parameters.max_message_bytes)
+        self._partners = Partners(endpoint, self._table, random, parameters)
+        # Times of first failed probes, not yet confirmed by a helper, by daemon.
+        self._unconfirmed = {}
+        # Failed probes since the last answer, by daemon.
+        self._missed_probes = {}
+        # Times at which suspected members are evicted, by daemon.
+        self._suspicion_deadlines = {}
+        # Times at which gone members are forgotten, by daemon.
         self._tombstones = {}
-        self._lost = set()
-        self._regions_heard = {}
-        self._region_misses = {}
-        self._lost_regions = {}
-        self._joins = collections.deque(maxlen=MOST_JOINS)
+        self._evicted = set()
+        self._region_answer_times = {}
+        # Daemons that have failed a probe since their region last answered.
+        self._silent_by_region = {}
+        # Endpoints for probing forgotten regions, by region and daemon.
+        self._forgotten_regions = {}
+        self._join_times = collections.deque(maxlen=MAX_COUNTED_JOINS)
         self._contacts = {}
         self._digest_cursor = random.randrange(membertable.BUCKETS)
         self._next_page = 0
         self._last_plan = None
-        self._page_budget = Budget(figures.page_rate, figures.page_burst)
-        self._table.put(self._own)
+        self._page_budget = TokenBucket(parameters.page_rate, parameters.page_burst)
+        self._table.put(self._local)
         self._rumours.add(endpoint.daemon)
 
-    # What others may ask.
+    # Queries.
 
     @property
     def own(self):
         """This daemon as a `Member`."""
-        return self._own
+        return self._local
 
     @property
     def next_page(self):
-        """Bucket from which the member list is still to be asked for.
+        """Bucket from which the member list remains to be fetched.
 
         `membertable.BUCKETS` when the whole list has been received.
         """
         return self._next_page
 
     def __len__(self):
-        """Count the members present, this daemon included."""
+        """Count the members that aren't gone, including this daemon."""
         return len(self._table)
 
     def members(self):
-        """Return all members known, those that are gone too."""
+        """Return all members, including those that are gone."""
         return self._table.members()
 
     def get(self, daemon):
-        """Return the `Member` of that identifier, or None."""
+        """Return the `Member` with an identifier, or None if it is unknown."""
         return self._table.get(daemon)
 
     def find_endpoints(self, service):
-        """Return the endpoints of a service; safe from any thread."""
+        """Return the endpoints of a service; safe to call from any thread."""
         return self._table.find_endpoints(service)
 
     def find_cut_regions(self):
         """Return the regions that have stopped answering."""
         return frozenset(
             region
-            for region, misses in self._region_misses.items()
-            if len(misses) >= self.settings.cut_misses
+            for region, silent in self._silent_by_region.items()
+            if len(silent) >= self.settings.unreachable_after_misses
         )
 
     def find_contacts(self):
         """Return endpoints through which this daemon may reach the mesh.
 
-        Members first, in random order, then those remembered from the log.
+        Members come first, in random order, followed by contacts from the log.
         """
         present = [
             member.endpoint
             for member in self._table.members()
-            if member.state is State.ALIVE and member is not self._own
+            if member.state is State.ALIVE and member is not self._local
         ]
         remembered = list(self._contacts.values())
         self._random.shuffle(present)
@@ -147,47 +152,51 @@
 
     def count_joins(self, now):
         """Count the members that joined within the last minute."""
-        while self._joins and now - self._joins[0] > RECENT:
-            self._joins.popleft()
-        return len(self._joins)
+        while self._join_times and now - self._join_times[0] > JOIN_WINDOW:
+            self._join_times.popleft()
+        return len(self._join_times)
 
-    # News.
+    # Updates.
 
     def announce(self, service, slots, leaving, now):
-        """Tell the mesh of a change of this daemon's backend server.
+        """Publish a change of this daemon's backend server to the mesh.
 
         Args:
-            service: Name of the service, "" when there is none.
-            slots: Requests that the backend server can work on at once.
-            leaving: Whether it takes no new work.
+            service: Name of the service, "" when there is no backend server.
+            slots: Requests that the backend server can process concurrently.
+            leaving: Whether it accepts no new requests.
             now: Time in seconds.
         """
-        endpoint = self._own.endpoint._replace(
+        endpoint = self._local.endpoint._replace(
             service=service, slots=slots, leaving=leaving
         )
-        if endpoint == self._own.endpoint:
+        if endpoint == self._local.endpoint:
             return
         state = State.LEAVING if leaving else State.ALIVE
-        self._change_own(endpoint, state, self._own.version + 1)
+        self._change_local(endpoint, state, self._local.version + 1)
 
     def leave(self, now):
-        """Tell the mesh that this daemon stops."""
-        self._change_own(self._own.endpoint, State.GONE, self._own.version + 1)
+        """Publish to the mesh that this daemon stops."""
+        self._change_local(self._local.endpoint, State.GONE, self._local.version + 1)
 
     def merge(self, members, now):
-        """Take in what another daemon tells.
+        """Apply member updates received from another daemon.
 
         Args:
             members: Iterable of `Member`.
             now: Time in seconds.
 
         Returns:
-            A tuple of `Change`, one for each member of which this was news.
+            A tuple of `Change`, one for each update that was applied.
         """
         return self._merge_all(members, now, spread=True)
 
     def take_page(self, page, now):
-        """Take in a page of the member list and remember where the next starts.
+        """Apply a page of the member list and record where the next one starts.
+
+        Args:
+            page: The `MemberPage`.
+            now: Time in seconds.
 
         Returns:
             A tuple of `Change`.
@@ -196,79 +205,79 @@
         return self._merge_all(page.members, now, spread=False)
 
     def finish_pages(self):
-        """Ask for no more pages, and give them to others from now on."""
+        """Fetch no more pages, and serve pages to other daemons from now on."""
         self._next_page = membertable.BUCKETS
 
     def load_join(self, endpoint):
-        """Remember a daemon from the log as a way to reach the mesh.
+        """Add a daemon from the log as a contact for reaching the mesh.
 
-        It isn't a member before it has been heard of by gossip: the record may
-        be old, and calls sent to a daemon that is long gone would fail.
+        It becomes a member only once gossip has confirmed it: the record may be
+        old, and calls sent to a daemon that is long gone would fail.
         """
         if self._table.get(endpoint.daemon) is not None:
             return
         self._contacts.pop(endpoint.daemon, None)
         self._contacts[endpoint.daemon] = endpoint
-        while len(self._contacts) > self.settings.contacts:
+        while len(self._contacts) > self.settings.max_contacts:
             del self._contacts[next(iter(self._contacts))]
 
     def load_leave(self, daemon):
-        """Forget a way to reach the mesh, because the log says that it left."""
+        """Remove a contact that has left according to the log."""
         self._contacts.pop(daemon, None)
 
     # Results of the instructions.
 
     def heard(self, daemon, now):
-        """Note that a daemon answered, or sent a message, itself."""
-        self._doubts.pop(daemon, None)
-        self._misses.pop(daemon, None)
+        """Record that a daemon answered a probe, or sent a message itself."""
+        self._unconfirmed.pop(daemon, None)
+        self._missed_probes.pop(daemon, None)
         endpoint = self._find_endpoint(daemon)
         if endpoint is None:
             return
         if self._table.get(daemon) is None:
-            # It answers, so it is there. Version 0 lets any news replace this.
-            self._take(Member(endpoint, State.ALIVE, 0), now)
-        self._lost_regions.pop(endpoint.region, None)
-        self._regions_heard[endpoint.region] = now
-        if self._region_misses.pop(endpoint.region, None):
-            self._table.hide_regions(self.find_cut_regions())
+            # It answers, so it is alive. Any update replaces version 0.
+            self._apply(Member(endpoint, State.ALIVE, 0), now)
+        self._forgotten_regions.pop(endpoint.region, None)
+        self._region_answer_times[endpoint.region] = now
+        if self._silent_by_region.pop(endpoint.region, None):
+            self._table.exclude_regions(self.find_cut_regions())
 
     def missed(self, daemon, now):
-        """Note that a daemon did not answer a probe."""
+        """Record that a daemon did not answer a probe."""
         member = self._table.get(daemon)
         if member is None:
-            self._miss_contact(daemon)
+            self._record_missed_contact(daemon)
         if member is None or member.state is State.GONE:
             return
         region = member.endpoint.region
-        if region != self._own.endpoint.region:
-            self._miss_region(region, daemon, now)
+        if region != self._local.endpoint.region:
+            self._record_missed_region(region, daemon, now)
             return
-        self._misses[daemon] = self._misses.get(daemon, 0) + 1
-        self._doubts.setdefault(daemon, now)
+        self._missed_probes[daemon] = self._missed_probes.get(daemon, 0) + 1
+        self._unconfirmed.setdefault(daemon, now)
 
     def deny(self, daemon, now):
-        """Note that a helper could not reach a daemon in doubt either."""
-        self._doubts.pop(daemon, None)
+        """Record that helpers could not reach an unresponsive daemon either."""
+        self._unconfirmed.pop(daemon, None)
         self._suspect(daemon, now)
 
     def replace(self, daemon, now):
-        """Note that another daemon answers at this daemon's address.
+        """Record that another daemon answers at this daemon's address.
 
-        An instance was restarted before anyone missed it. Unless its former
-        identifier is taken out at once, calls go to a daemon of another
-        service until the suspicion has run out.
+        The instance was restarted before its absence was detected. Unless its
+        former identifier is evicted at once, calls go to a daemon of another
+        service until the suspicion times out.
         """
         self._contacts.pop(daemon, None)
         member = self._table.get(daemon)
         if member is not None and member.state is not State.GONE:
-            self._take(member._replace(state=State.GONE), now)
-        self._lost.discard(daemon)
+            self._apply(member._replace(state=State.GONE), now)
+        self._evicted.discard(daemon)
 
     # Instructions.
 
     def plan(self, now):
-        """Decide what to send in this interval.
+        """Choose the messages to send in this interval.
 
         Args:
             now: Time in seconds.
@@ -276,95 +285,98 @@
         Returns:
             A tuple of `Probe` and `ProbeVia`.
         """
-        self._forgive_after_pause(now)
+        self._reset_after_pause(now)
         self._expire(now)
-        self._partners.rotate(now, self._regions_heard)
-        instructions = self._plan_doubts(now)
+        self._partners.rotate(now, self._region_answer_times)
+        instructions = self._plan_confirmations(now)
         target = self._choose_target()
         if target is not None:
-            instructions.append(self._address(target, now))
+            instructions.append(self._build_probe(target, now))
         return tuple(instructions)
 
     def plan_push(self, count, now):
-        """Choose partners to which urgent news are sent at once.
+        """Choose partners to which urgent updates are sent at once.
 
         Args:
-            count: Most partners wanted.
+            count: Maximum number of partners.
             now: Time in seconds.
 
         Returns:
             A tuple of `Probe`.
         """
         chosen = self._partners.sample(count)
-        return tuple(self._address(endpoint, now) for endpoint in chosen)
+        return tuple(self._build_probe(endpoint, now) for endpoint in chosen)
 
     def take_rumours(self, now, about=""):
-        """Choose the members to send along with a message, and count them sent.
+        """Choose the members to send along with a message and count them as sent.
 
         Args:
             now: Time in seconds.
-            about: The daemon to which the message goes. What is held against
-                it goes first, since it alone can contradict that.
+            about: Identifier of the receiver. If it is suspected or gone here,
+                that goes first, since only the receiver can refute it.
 
         Returns:
-            A tuple of `Member`, within the bytes allowed.
+            A tuple of `Member`, within the allowed bytes.
         """
         first = []
-        addressee = self._table.get(about)
-        if about and (addressee is None or addressee.version == 0):
-            # Whoever isn't known here hardly knows this daemon either.
-            first.append(self._own)
-        elif addressee and addressee.state in (State.SUSPECT, State.GONE):
-            first.append(addressee)
-        return self._rumours.take(first, now)
+        receiver = self._table.get(about)
+        if about and (receiver is None or receiver.version == 0):
+            # A daemon unknown here is unlikely to have this daemon in its table.
+            first.append(self._local)
+        elif receiver and receiver.state in (State.SUSPECT, State.GONE):
+            first.append(receiver)
+        return self._rumours.select(first, now)
 
     def compare(self, digests, now):
-        """Return members of buckets in which a peer's digests differ.
+        """Return members of the buckets whose digests differ from a peer's.
 
         Args:
             digests: The peer's `Digests`.
             now: Time in seconds.
 
         Returns:
-            A tuple of `Member`, within the bytes allowed.
+            A tuple of `Member`, within the allowed bytes.
         """
-        if len(self._rumours) > BUSY_RUMOURS:
-            # When a whole zone dies nearly all digests differ for a while, and
-            # whole buckets of what everyone knows would crowd out the news.
+        if len(self._rumours) > MAX_RUMOURS_FOR_COMPARISON:
+            # When a whole zone dies, nearly all digests differ for a while, and
+            # sending whole buckets of unchanged members would crowd out rumours.
             return ()
-        own = self._table.find_digests(digests.first, len(digests.values))
-        found = []
-        for i, (ours, theirs) in enumerate(zip(own, digests.values, strict=True)):
+        local = self._table.find_digests(digests.first, len(digests.values))
+        differing = []
+        for i, (ours, theirs) in enumerate(zip(local, digests.values, strict=True)):
             if ours != theirs:
                 bucket = (digests.first + i) % membertable.BUCKETS
-                found.extend(self._table.find_bucket_members(bucket))
-        if not found:
+                differing.extend(self._table.find_bucket_members(bucket))
+        if not differing:
             return ()
-        self._random.shuffle(found)
-        return self._rumours.cut(found, now)
+        self._random.shuffle(differing)
+        return self._rumours.truncate(differing, now)
 
     def give_page(self, bucket, now):
         """Return a page of the member list for a daemon that has just started.
 
         Args:
-            bucket: Where the page starts.
+            bucket: Bucket at which the page starts.
             now: Time in seconds.
+
+        Returns:
+            A `MemberPage`.
         """
         if self._next_page < membertable.BUCKETS:
-            # Newcomers that took each other's short lists for whole ones would
-            # find no endpoints for most services. They may get to know each
-            # other, and go on looking for somebody who has the list.
-            return MemberPage((self._own,), bucket)
-        if self._page_budget.find_left(now) <= 0:
+            # A newcomer that accepted another newcomer's partial list as complete
+            # would find no endpoints for most services. They may learn of each
+            # other, and continue to look for a daemon that has the whole list.
+            return MemberPage((self._local,), bucket)
+        if self._page_budget.find_available(now) <= 0:
             return MemberPage((), bucket)
-        found = []
-        while bucket < membertable.BUCKETS and len(found) < self.settings.page_members:
-            found.extend(self._table.find_bucket_members(bucket))
+        listed = []
+        while bucket < membertable.BUCKETS and len(listed) < self.settings.page_members:
+            listed.extend(self._table.find_bucket_members(bucket))
             bucket += 1
-        self._page_budget.spend(sum(map(estimate_bytes, found)))
-        return MemberPage(tuple(found), bucket)
+        self._page_budget.spend(sum(map(estimate_bytes, listed)))
+        return MemberPage(tuple(listed), bucket)
 
-    # One member.
+    # State of one member.
 
     def _merge_all(self, members, now, spread):
         with self._table.defer_publishing():
@@ -373,104 +385,108 @@
 
     def _merge_one(self, member, now, spread):
         daemon = member.endpoint.daemon
-        if daemon == self._own.endpoint.daemon:
-            self._contradict(member)
-            self._correct(member, self._own)
+        if daemon == self._local.endpoint.daemon:
+            self._refute(member)
+            self._resend_if_newer(member, self._local)
             return None
-        known = self._table.get(daemon)
-        if known is None:
+        current = self._table.get(daemon)
+        if current is None:
             if not member.endpoint.address or member.state is State.GONE:
                 return None
-            if member.endpoint.region in self._lost_regions:
+            if member.endpoint.region in self._forgotten_regions:
                 return None
-        elif not supersedes(member, known):
-            self._correct(member, known)
+        elif not supersedes(member, current):
+            self._resend_if_newer(member, current)
             return None
-        if known is not None and member.state in (State.SUSPECT, State.GONE):
-            # Bad news travel without the endpoint, to keep them short.
-            member = member._replace(endpoint=known.endpoint)
-        return self._take(member, now, spread)
+        if current is not None and member.state in (State.SUSPECT, State.GONE):
+            # These updates are sent without the endpoint, to save bytes.
+            member = member._replace(endpoint=current.endpoint)
+        return self._apply(member, now, spread)
 
-    def _take(self, member, now, spread=True):
+    def _apply(self, member, now, spread=True):
         daemon = member.endpoint.daemon
-        known = self._table.get(daemon)
+        previous = self._table.get(daemon)
         self._table.put(member)
-        self._suspects.pop(daemon, None)
+        self._suspicion_deadlines.pop(daemon, None)
         self._tombstones.pop(daemon, None)
-        self._lost.discard(daemon)
+        self._evicted.discard(daemon)
         self._contacts.pop(daemon, None)
         if member.state is State.SUSPECT:
-            self._suspects[daemon] = now + self._find_suspicion_time()
+            self._suspicion_deadlines[daemon] = now + self._find_suspicion_timeout()
         elif member.state is State.GONE:
-            self._bury(daemon, known, member, now)
+            self._record_gone(daemon, previous, member, now)
         if spread:
             self._rumours.add(daemon)
-        joined = known is None or known.state is State.GONE
+        joined = previous is None or previous.state is State.GONE
         joined = joined and member.state is not State.GONE
         if joined and spread:
-            self._joins.append(now)
+            self._join_times.append(now)
         return Change(member, joined)
 
-    def _correct(self, told, known):
-        """Have the news told again that somebody turned out not to know."""
-        if told.version < known.version:
-            self._rumours.repeat(known.endpoint.daemon)
+    def _resend_if_newer(self, received, current):
+        """Resend the current state of a member if a peer sent an older version."""
+        if received.version < current.version:
+            self._rumours.resend(current.endpoint.daemon)
 
-    def _contradict(self, member):
-        """Raise the own version above whatever is held against this daemon.
+    def _refute(self, member):
+        """Raise the local version above a report that this daemon is down.
 
-        It happens after a pause or a cut: the others took this daemon for
-        dead. Unless it raised its version, its endpoint would get no work
-        although it serves.
+        After a pause or a network cut the others believe this daemon dead.
+        Unless it raised its version, its endpoint would receive no requests
+        although it can serve them.
         """
-        held = member.state in (State.SUSPECT, State.GONE)
-        if self._own.state is State.GONE:
+        reported_down = member.state in (State.SUSPECT, State.GONE)
+        if self._local.state is State.GONE:
             return
-        if held and member.version >= self._own.version:
-            self._change_own(self._own.endpoint, self._own.state, member.version + 1)
-
-    def _change_own(self, endpoint, state, version):
-        self._own = Member(endpoint, state, version)
-        self._table.put(self._own)
+        if reported_down and member.version >= self._local.version:
+            self._change_local(
+                self._local.endpoint, self._local.state, member.version + 1
+            )
+
+    def _change_local(self, endpoint, state, version):
+        self._local = Member(endpoint, state, version)
+        self._table.put(self._local)
         self._rumours.add(endpoint.daemon)
 
     def _suspect(self, daemon, now):
         member = self._table.get(daemon)
         if member is not None and member.state in (State.ALIVE, State.LEAVING):
-            self._take(member._replace(state=State.SUSPECT), now)
-
-    def _bury(self, daemon, known, member, now):
-        self._tombstones[daemon] = now + self.settings.tombstone
-        # Who leaves raises its version. Anyone else who is gone was taken out
-        # by others, perhaps because of a cut, and is worth another probe.
-        if known is not None and member.version == known.version:
-            self._lost.add(daemon)
+            self._apply(member._replace(state=State.SUSPECT), now)
+
+    def _record_gone(self, daemon, previous, member, now):
+        self._tombstones[daemon] = now + self.settings.tombstone_ttl
+        # A leaving member raises its version. With the version unchanged it was
+        # evicted by others, perhaps because of a network cut, and is worth
+        # probing again.
+        if previous is not None and member.version == previous.version:
+            self._evicted.add(daemon)
         self._partners.drop(daemon)
-        self._doubts.pop(daemon, None)
-        self._misses.pop(daemon, None)
+        self._unconfirmed.pop(daemon, None)
+        self._missed_probes.pop(daemon, None)
 
-    def _find_suspicion_time(self):
-        return self.settings.suspicion * max(1.0, math.log10(len(self._table)))
+    def _find_suspicion_timeout(self):
+        return self.settings.suspicion_timeout * max(1.0, math.log10(len(self._table)))
 
-    def _miss_contact(self, daemon):
-        self._misses[daemon] = self._misses.get(daemon, 0) + 1
-        if self._misses[daemon] >= self.settings.direct_misses:
+    def _record_missed_contact(self, daemon):
+        self._missed_probes[daemon] = self._missed_probes.get(daemon, 0) + 1
+        if self._missed_probes[daemon] >= self.settings.suspect_after_misses:
             self._contacts.pop(daemon, None)
-            del self._misses[daemon]
+            del self._missed_probes[daemon]
 
     # Regions.
 
-    def _miss_region(self, region, daemon, now):
-        self._region_misses.setdefault(region, set()).add(daemon)
-        self._regions_heard.setdefault(region, now)
-        self._table.hide_regions(self.find_cut_regions())
+    def _record_missed_region(self, region, daemon, now):
+        self._silent_by_region.setdefault(region, set()).add(daemon)
+        self._region_answer_times.setdefault(region, now)
+        self._table.exclude_regions(self.find_cut_regions())
         self._swap_far_partner(region, daemon)
 
     def _swap_far_partner(self, region, daemon):
-        """Take another member of the region instead, and probe it next.
+        """Replace a silent far partner by another member of its region.
 
-        A dead daemon isn't yet a region cut off. Until a few others have
-        failed too, they are asked without waiting for their turn.
+        A dead daemon doesn't mean that its region is unreachable. Until enough
+        others have failed too, the replacement is probed next rather than in
+        its turn.
         """
         others = [
             member.endpoint.daemon
@@ -478,26 +494,26 @@
             if member.endpoint.region == region and member.state is not State.GONE
         ]
         other = self._random.choice(others)
-        soon = region not in self.find_cut_regions()
-        self._partners.replace(daemon, other, soon)
+        probe_next = region not in self.find_cut_regions()
+        self._partners.replace(daemon, other, probe_next)
 
     def _expire_regions(self, now):
         lost = [
             region
-            for region in self._region_misses
-            if now - self._regions_heard[region] > self.settings.region_time
+            for region in self._silent_by_region
+            if now - self._region_answer_times[region] > self.settings.region_ttl
         ]
         for region in lost:
-            self._lose_region(region)
+            self._forget_region(region)
 
-    def _lose_region(self, region):
-        """Forget the members of a region, but for a few to look for it again.
+    def _forget_region(self, region):
+        """Forget the members of a region, except a few contacts for probing it.
 
-        Until one of them answers, nobody's word on the region is taken.
-        Daemons forget it at different moments, and would otherwise bring it
-        back to each other for ever.
+        Until one of them answers, updates about the region are ignored. Daemons
+        forget it at different moments, and would otherwise reintroduce it to
+        each other forever.
         """
-        del self._region_misses[region]
+        del self._silent_by_region[region]
         endpoints = [
             member.endpoint
             for member in self._table.members()
@@ -505,110 +521,118 @@
         ]
         for endpoint in endpoints:
             self._forget(endpoint.daemon)
-        count = min(REMEMBERED_ENDPOINTS, len(endpoints))
+        count = min(MAX_REGION_CONTACTS, len(endpoints))
         chosen = self._random.sample(endpoints, count)
-        self._lost_regions[region] = {e.daemon: e for e in chosen}
+        self._forgotten_regions[region] = {e.daemon: e for e in chosen}
 
     def _find_endpoint(self, daemon):
         member = self._table.get(daemon)
         if member is not None:
             return member.endpoint
-        for known in (self._contacts, *self._lost_regions.values()):
-            if daemon in known:
-                return known[daemon]
+        for contacts in (self._contacts, *self._forgotten_regions.values()):
+            if daemon in contacts:
+                return contacts[daemon]
         return None
 
-    # Time.
+    # Timeouts.
 
-    def _forgive_after_pause(self, now):
-        """Drop what is held against others when this daemon was paused.
+    def _reset_after_pause(self, now):
+        """Clear the recorded failures of other daemons after a local pause.
 
-        After a pause every answer is late and every suspicion has run out at
-        once. A daemon that resumed would take out whoever it happened to
-        suspect, although nobody had a chance to contradict.
+        After a pause every answer is late and every suspicion has timed out at
+        once. On resuming, this daemon would evict whatever members it suspected,
+        although they had no chance to refute it.
         """
         last, self._last_plan = self._last_plan, now
         if last is None or now - last <= PAUSED_INTERVALS * self.settings.interval:
             return
-        self._doubts.clear()
-        self._misses.clear()
-        self._region_misses.clear()
-        self._table.hide_regions(())
-        for daemon in self._suspects:
-            self._suspects[daemon] = now + self._find_suspicion_time()
+        self._unconfirmed.clear()
+        self._missed_probes.clear()
+        self._silent_by_region.clear()
+        self._table.exclude_regions(())
+        for daemon in self._suspicion_deadlines:
+            self._suspicion_deadlines[daemon] = now + self._find_suspicion_timeout()
 
     def _expire(self, now):
-        for daemon in _find_due(self._suspects, now):
+        for daemon in _find_due(self._suspicion_deadlines, now):
             member = self._table.get(daemon)
-            self._take(member._replace(state=State.GONE), now)
+            self._apply(member._replace(state=State.GONE), now)
         for daemon in _find_due(self._tombstones, now):
             self._forget(daemon)
         self._expire_regions(now)
 
     def _forget(self, daemon):
         self._table.remove(daemon)
-        self._lost.discard(daemon)
+        self._evicted.discard(daemon)
         self._rumours.forget(daemon)
         self._partners.drop(daemon)
-        for held in (self._tombstones, self._suspects, self._doubts, self._misses):
-            held.pop(daemon, None)
+        for by_daemon in (
+            self._tombstones,
+            self._suspicion_deadlines,
+            self._unconfirmed,
+            self._missed_probes,
+        ):
+            by_daemon.pop(daemon, None)
 
-    # Whom to probe.
+    # Choice of probe targets.
 
     def _choose_target(self):
-        if self._random.randrange(RECONNECT_PROBES) == 0:
-            lost = self._choose_lost()
+        if self._random.randrange(PROBES_PER_RECONNECT) == 0:
+            lost = self._choose_reconnect_target()
             if lost is not None:
                 return lost
-        return self._partners.choose_next() or self._choose_lost()
+        return self._partners.choose_next() or self._choose_reconnect_target()
 
-    def _choose_lost(self):
-        """Choose who is gone without having left, or was never heard of."""
+    def _choose_reconnect_target(self):
+        """Choose a contact, a forgotten region's daemon or an evicted member."""
         lost = list(self._contacts.values())
-        for endpoints in self._lost_regions.values():
+        for endpoints in self._forgotten_regions.values():
             lost.extend(endpoints.values())
-        lost.extend(self._table.get(daemon).endpoint for daemon in self._lost)
+        lost.extend(self._table.get(daemon).endpoint for daemon in self._evicted)
         return self._random.choice(lost) if lost else None
 
-    def _plan_doubts(self, now):
+    def _plan_confirmations(self, now):
+        """Have helpers repeat failed probes, or suspect members without them."""
         instructions = []
-        for daemon in tuple(self._doubts):
+        for daemon in tuple(self._unconfirmed):
             endpoint = self._table.get(daemon).endpoint
-            helpers = self._partners.choose_helpers(daemon, self._misses)
+            helpers = self._partners.choose_helpers(daemon, self._missed_probes)
             if helpers:
-                del self._doubts[daemon]
+                del self._unconfirmed[daemon]
                 instructions.append(ProbeVia(daemon, endpoint.address, helpers))
             elif self._is_alone_with(daemon) and (
-                self._misses.get(daemon, 0) >= self.settings.direct_misses
+                self._missed_probes.get(daemon, 0) >= self.settings.suspect_after_misses
             ):
-                del self._doubts[daemon]
+                del self._unconfirmed[daemon]
                 self._suspect(daemon, now)
         return instructions
 
     def _is_alone_with(self, daemon):
-        """Tell whether the region has nobody who could be asked for help.
+        """Return whether this daemon and another are the only ones of the region.
 
-        When there are others and all of them are silent, it is more likely
-        that this daemon is cut off than that all have died at once.
+        When there are others and none of them answers, it is more likely that
+        this daemon is cut off than that all of them died at once.
         """
         others = [
             member
             for member in self._table.members()
-            if member.endpoint.region == self._own.endpoint.region
+            if member.endpoint.region == self._local.endpoint.region
             and member.state is not State.GONE
             and member.endpoint.daemon != daemon
-            and member is not self._own
+            and member is not self._local
         ]
         return not others
 
-    # What to send.
+    # Construction of probes.
 
-    def _address(self, endpoint, now):
+    def _build_probe(self, endpoint, now):
         digests = Digests(
             self._digest_cursor,
-            self._table.find_digests(self._digest_cursor, DIGESTS),
+            self._table.find_digests(self._digest_cursor, DIGESTS_PER_PROBE),
         )
-        self._digest_cursor = (self._digest_cursor + DIGESTS) % membertable.BUCKETS
+        self._digest_cursor = (
+            self._digest_cursor + DIGESTS_PER_PROBE
+        ) % membertable.BUCKETS
         rumours = self.take_rumours(now, endpoint.daemon)
         return Probe(endpoint.daemon, endpoint.address, rumours, digests)
 
--- a/whinwinch/membertable.py
+++ b/whinwinch/membertable.py
@@ -1,17 +1,16 @@
 """Table of the members of the mesh, as one daemon knows them.
 
-The load pattern: 4,500 members change a few times a minute, while every call
-asks for the endpoints of one service. So the table is indexed by service, and
-each service's endpoints stand ready as an immutable tuple that a request
-thread reads without a lock. Without the index each call would scan all
-members (about a millisecond); without the tuple a call could see a list that
-the event loop is changing.
-
-Members are spread over buckets by a hash of their identifier, and every bucket
-has a digest. Two daemons find out what they disagree on by comparing a few
-digests instead of their tables. Grounds for `BUCKETS`: at 4,500 members a
-bucket holds 18, so that a difference costs about 2 KB to settle, and all
-digests together are 1 KB.
+Load pattern: 4,500 members change a few times a minute, while every call looks up
+the endpoints of one service. So the table is indexed by service and keeps the
+endpoints of each service as an immutable tuple, which a request thread reads
+without a lock. Without the index each call would scan all members (about a
+millisecond); without the tuple a call could read a list that the event loop is
+changing.
+
+Members are assigned to buckets by a hash of their identifier, and every bucket has
+a digest. Two daemons find the differences between their tables by comparing a few
+digests at a time. With 256 buckets and 4,500 members a bucket holds 18, so that
+resolving a difference costs about 2 KB, and all digests together take 1 KB.
 """
 
 import contextlib
@@ -26,7 +25,7 @@
 
 
 class State(enum.Enum):
-    """What is known of a member."""
+    """State of a member, as far as this daemon has received."""
 
     ALIVE = "alive"
     LEAVING = "leaving"
@@ -34,8 +33,8 @@
     GONE = "gone"
 
 
-# At the same version, bad news go before good: only the member itself may
-# contradict them, by raising its version.
+# At the same version a suspicion or eviction supersedes a report that the member
+# is alive: only the member itself may refute it, by raising its version.
 _PRECEDENCE = {State.ALIVE: 0, State.LEAVING: 0, State.SUSPECT: 1, State.GONE: 2}
 
 
@@ -44,9 +43,9 @@
 
     Attributes:
         endpoint: The daemon and its backend server.
-        state: What is known of it.
-        version: Raised only by the member itself, when it changes or when it
-            contradicts a suspicion.
+        state: Its most recently received state.
+        version: Number raised only by the member itself, when it changes or when
+            it refutes a report that it is suspected or gone.
     """
 
     endpoint: messages.Endpoint
@@ -55,18 +54,19 @@
 
 
 class MemberTable:
-    """Members by identifier, by bucket and by service.
+    """Index of the members by identifier, by bucket and by service.
 
-    Only one thread changes the table; `find_endpoints` may be called from any.
+    Only one thread may use the table, except that `find_endpoints` may be called
+    from any.
     """
 
     def __init__(self):
         self._buckets = [{} for _ in range(BUCKETS)]
         self._digests = [0] * BUCKETS
-        self._services = {}
+        self._members_by_service = {}
         self._endpoints = {}
         self._deferred = None
-        self._cut_regions = frozenset()
+        self._unreachable_regions = frozenset()
         self._present = 0
 
     def __len__(self):
@@ -74,42 +74,44 @@
         return self._present
 
     def copy(self):
-        """Return a table of the same members that changes by itself."""
+        """Return an independent copy of the table."""
         copied = MemberTable()
         copied._buckets = [dict(bucket) for bucket in self._buckets]
         copied._digests = list(self._digests)
-        copied._services = {name: dict(held) for name, held in self._services.items()}
+        copied._members_by_service = {
+            name: dict(members) for name, members in self._members_by_service.items()
+        }
         copied._endpoints = dict(self._endpoints)
-        copied._cut_regions = self._cut_regions
+        copied._unreachable_regions = self._unreachable_regions
         copied._present = self._present
         return copied
 
     def get(self, daemon):
-        """Return the member of that identifier, or None."""
+        """Return the member with an identifier, or None if it is unknown."""
         return self._buckets[find_bucket(daemon)].get(daemon)
 
     def put(self, member):
-        """Add a member, or replace what was known of it."""
+        """Add a member or replace its previous entry."""
         daemon = member.endpoint.daemon
         bucket = find_bucket(daemon)
         old = self._buckets[bucket].get(daemon)
         self._buckets[bucket][daemon] = member
-        self._account(bucket, old, member)
+        self._update_digest(bucket, old, member)
         self._reindex(old, member)
 
     def remove(self, daemon):
-        """Forget a member, also that it is gone."""
+        """Remove a member's entry, also that of a gone member."""
         bucket = find_bucket(daemon)
         old = self._buckets[bucket].pop(daemon, None)
-        self._account(bucket, old, None)
+        self._update_digest(bucket, old, None)
         self._reindex(old, None)
 
     @contextlib.contextmanager
     def defer_publishing(self):
-        """Publish each service's endpoints once, after many changes.
+        """Rebuild the endpoints of each changed service once, on leaving the block.
 
-        Each publication costs as much as the service has endpoints, so that a
-        list of a thousand endpoints of one service would cost a million steps.
+        A rebuild takes time proportional to the service's endpoints, so that
+        adding a thousand endpoints of one service would cost a million steps.
         """
         self._deferred = set()
         try:
@@ -120,99 +122,111 @@
                 self._publish(service)
 
     def members(self):
-        """Return all members, those that are gone too."""
+        """Return all members, including those that are gone."""
         return tuple(member for bucket in self._buckets for member in bucket.values())
 
     def draw(self, random, count):
-        """Draw members at random, about `count` and possibly some gone ones.
+        """Return about `count` members chosen at random, possibly some gone ones.
 
-        It takes whole buckets and costs the same however many members there
-        are, while shuffling thousands to take a few would not.
+        It returns whole buckets, at a cost that doesn't depend on the number of
+        members, unlike a shuffle of all of them.
+
+        Args:
+            random: A `random.Random`.
+            count: Approximate number of members.
         """
         if count >= self._present:
             return self.members()
-        wanted = math.ceil(BUCKETS * count / self._present)
-        chosen = random.sample(self._buckets, min(BUCKETS, wanted))
+        bucket_count = math.ceil(BUCKETS * count / self._present)
+        chosen = random.sample(self._buckets, min(BUCKETS, bucket_count))
         return tuple(member for bucket in chosen for member in bucket.values())
 
     def find_bucket_members(self, bucket):
-        """Return the members of one bucket, those that are gone too."""
+        """Return the members of one bucket, including those that are gone."""
         return tuple(self._buckets[bucket].values())
 
     def find_digests(self, first, count):
         """Return the digests of `count` buckets from `first` on, wrapping round.
 
-        A digest covers who is present at which version. Suspicion is left out,
-        because it is either contradicted or settled within seconds.
+        A digest covers the identifiers and versions of the members that aren't
+        gone. Suspicion is not included, because it is either refuted or ends in
+        eviction within seconds.
         """
         return tuple(self._digests[(first + i) % BUCKETS] for i in range(count))
 
     def find_endpoints(self, service):
         """Return the endpoints of a service.
 
-        Those that are suspect or in a region that is cut off are left out,
-        unless no other is left. Those that are leaving are marked so.
+        Endpoints that are suspected or in an unreachable region are excluded
+        unless the service has no others. Leaving ones are included, with
+        `leaving` set.
         """
         return self._endpoints.get(service, ())
 
-    def hide_regions(self, regions):
-        """Leave the endpoints of these regions out while others are left."""
+    def exclude_regions(self, regions):
+        """Exclude the endpoints of unreachable regions from services with others.
+
+        Args:
+            regions: The unreachable regions; they replace those of the last call.
+        """
         regions = frozenset(regions)
-        if regions == self._cut_regions:
+        if regions == self._unreachable_regions:
             return
-        self._cut_regions = regions
-        for service in tuple(self._services):
+        self._unreachable_regions = regions
+        for service in tuple(self._members_by_service):
             self._publish(service)
 
-    def _account(self, bucket, old, new):
+    def _update_digest(self, bucket, old, new):
         for member, step in ((old, -1), (new, 1)):
             if member is not None and member.state is not State.GONE:
                 self._digests[bucket] ^= _hash_member(member)
                 self._present += step
 
     def _reindex(self, old, new):
-        touched = set()
+        changed_services = set()
         if old is not None and old.endpoint.service:
-            touched.add(old.endpoint.service)
-            self._find_service(old).pop(old.endpoint.daemon, None)
+            changed_services.add(old.endpoint.service)
+            self._find_service_members(old).pop(old.endpoint.daemon, None)
         if new is not None and new.endpoint.service:
-            touched.add(new.endpoint.service)
+            changed_services.add(new.endpoint.service)
             if new.state is not State.GONE:
-                self._find_service(new)[new.endpoint.daemon] = new
+                self._find_service_members(new)[new.endpoint.daemon] = new
         if self._deferred is not None:
-            self._deferred |= touched
+            self._deferred |= changed_services
             return
-        for service in touched:
+        for service in changed_services:
             self._publish(service)
 
-    def _find_service(self, member):
-        return self._services.setdefault(member.endpoint.service, {})
+    def _find_service_members(self, member):
+        return self._members_by_service.setdefault(member.endpoint.service, {})
 
     def _publish(self, service):
-        of_service = self._services.get(service)
-        if not of_service:
-            self._services.pop(service, None)
+        service_members = self._members_by_service.get(service)
+        if not service_members:
+            self._members_by_service.pop(service, None)
             self._endpoints.pop(service, None)
             return
-        shown = tuple(
-            member.endpoint for member in of_service.values() if self._is_shown(member)
+        usable = tuple(
+            member.endpoint
+            for member in service_members.values()
+            if self._is_usable(member)
         )
-        everything = tuple(member.endpoint for member in of_service.values())
-        self._endpoints[service] = shown or everything
+        everything = tuple(member.endpoint for member in service_members.values())
+        self._endpoints[service] = usable or everything
 
-    def _is_shown(self, member):
+    def _is_usable(self, member):
         if member.state is State.SUSPECT:
             return False
-        return member.endpoint.region not in self._cut_regions
+        return member.endpoint.region not in self._unreachable_regions
 
 
 def supersedes(new, old):
-    """Tell whether one piece of news of a member replaces another."""
+    """Return whether one update of a member replaces another."""
     return _find_precedence(new) > _find_precedence(old)
 
 
 def find_bucket(daemon):
-    """Return the bucket of a daemon's identifier, the same everywhere."""
+    """Return the bucket of an identifier, the same on every daemon."""
     return zlib.crc32(daemon.encode()) % BUCKETS
 
 
--- a/whinwinch/partners.py
+++ b/whinwinch/partners.py
@@ -1,184 +1,191 @@
-"""Which members a daemon probes: a handful, exchanged one at a time.
+"""Partial view of the mesh: the few members that a daemon probes in turn.
 
-Load pattern: thousands of members of which each has to be watched by somebody. Since
-everybody probes one partner an interval, the cost for a daemon doesn't depend on how
-many there are; since partners stay for a while, connections to them can be kept; and
-since most are in the own availability zone, most messages stay there.
+Load pattern: thousands of members, each of which has to be probed by some other
+daemon. Since every daemon probes one partner per interval, the cost for a daemon
+doesn't depend on the size of the mesh. Partners are kept for a while, so that
+connections to them can be reused, and replaced one at a time. Most of them are in
+the local availability zone, and so most messages stay there.
 """
 
 import math
 
 from .membertable import State
 
-# Members drawn to fill the places of partners: enough for five of a zone that
-# holds a ninth of the members, nine times out of ten.
-DRAWN_MEMBERS = 96
-# Distances: own availability zone, own region, elsewhere.
+# Members drawn as candidates for partners. With a probability of nine in ten they
+# include five of a zone that has a ninth of all members.
+CANDIDATES = 96
+# Distances: local availability zone, local region, other region.
 ZONE, REGION, FAR = range(3)
 
 
 class Partners:
-    """The partners of one daemon, and whose turn it is.
+    """The partners of one daemon and the order in which they are probed.
 
     Args:
-        own: `messages.Endpoint` of the daemon.
+        local: `messages.Endpoint` of this daemon.
         table: `membertable.MemberTable`.
         random: A `random.Random`.
-        settings: `membership.Settings`.
+        settings: `memberplan.Settings`.
     """
 
-    def __init__(self, own, table, random, settings):
-        self._own = own
+    def __init__(self, local, table, random, settings):
+        self._local = local
         self._table = table
         self._random = random
         self._settings = settings
         self._partners = {}
-        self._order = []
+        self._probe_order = []
         self._next_rotation = -math.inf
-        self._far_turn = False
+        self._replaces_far = False
 
     def drop(self, daemon):
-        """Probe a member no more."""
+        """Remove a member from the partners."""
         self._partners.pop(daemon, None)
 
-    def replace(self, daemon, other, soon):
-        """Probe another member instead of one.
+    def replace(self, daemon, other, probe_next):
+        """Replace a partner by another member.
 
         Args:
-            daemon: The one.
-            other: The other one.
-            soon: Whether the other is probed next, without waiting for its turn.
+            daemon: Identifier of the partner.
+            other: Identifier of the member that replaces it.
+            probe_next: Whether that member is probed next rather than in its turn.
         """
         self._partners.pop(daemon, None)
         self._partners[other] = None
-        if soon:
-            self._order.append(other)
+        if probe_next:
+            self._probe_order.append(other)
 
-    def rotate(self, now, heard):
-        """Exchange one partner now and then, and fill free places.
+    def rotate(self, now, region_answer_times):
+        """Replace one partner when a rotation is due, and fill vacancies.
 
         Args:
             now: Time in seconds.
-            heard: When each region was last heard of.
+            region_answer_times: Time of the last answer from each region.
         """
-        wanted = min(self._count_places(), len(self._table) - 1)
+        wanted = min(self._count_wanted(), len(self._table) - 1)
         due = now >= self._next_rotation
         if not due and len(self._partners) >= wanted:
             return
         if due:
             jitter = self._random.uniform(0.5, 1.5)
-            self._next_rotation = now + jitter * self._settings.rotation
+            self._next_rotation = now + jitter * self._settings.rotation_interval
             if self._partners and wanted < len(self._table) - 1:
-                del self._partners[self._choose_leaver()]
-        self._fill_places(heard)
+                del self._partners[self._choose_replaced()]
+        self._fill_vacancies(region_answer_times)
 
     def sample(self, count):
-        """Return endpoints of some partners, drawn anew."""
+        """Return the endpoints of up to `count` partners chosen at random."""
         partners = [m.endpoint for m in map(self._table.get, self._partners) if m]
         return self._random.sample(partners, min(count, len(partners)))
 
     def choose_next(self):
-        """Return the endpoint whose turn it is, or None where there is none."""
-        while self._order or self._partners:
-            if not self._order:
-                self._order = list(self._partners)
-                self._random.shuffle(self._order)
-            daemon = self._order.pop()
+        """Return the endpoint to probe next, or None without partners."""
+        while self._probe_order or self._partners:
+            if not self._probe_order:
+                self._probe_order = list(self._partners)
+                self._random.shuffle(self._probe_order)
+            daemon = self._probe_order.pop()
             if daemon in self._partners:
                 return self._table.get(daemon).endpoint
         return None
 
-    def choose_helpers(self, daemon, silent):
-        """Return endpoints that may repeat a failed probe.
+    def choose_helpers(self, daemon, unresponsive):
+        """Return the endpoints of members that are asked to repeat a failed probe.
 
         Args:
-            daemon: The daemon in doubt.
-            silent: Daemons that have missed a probe themselves.
+            daemon: Identifier of the daemon whose probe failed.
+            unresponsive: Identifiers of daemons that have failed a probe themselves.
         """
-        possible = [
+        eligible = [
             member.endpoint
             for member in map(self._table.get, self._partners)
-            if member.endpoint.region == self._own.region
+            if member.endpoint.region == self._local.region
             and member.endpoint.daemon != daemon
-            and member.endpoint.daemon not in silent
+            and member.endpoint.daemon not in unresponsive
             and member.state is not State.SUSPECT
         ]
-        count = min(self._settings.helpers, len(possible))
-        return tuple(self._random.sample(possible, count))
+        count = min(self._settings.helpers, len(eligible))
+        return tuple(self._random.sample(eligible, count))
 
-    def _choose_leaver(self):
-        """Choose the partner to exchange, every other time one far away.
+    def _choose_replaced(self):
+        """Choose the partner to replace, every other time one in another region.
 
-        With one partner in another region, exchanged as seldom as the others,
-        a daemon would take minutes to notice that a region is cut off.
+        There is one far partner by default. If it were replaced as rarely as the
+        others, a daemon would take minutes to notice that a region is unreachable.
         """
-        self._far_turn = not self._far_turn
+        self._replaces_far = not self._replaces_far
         far = [
             daemon
             for daemon in self._partners
             if self._find_distance(self._table.get(daemon).endpoint) == FAR
         ]
         return self._random.choice(
-            far if far and self._far_turn else list(self._partners)
+            far if far and self._replaces_far else list(self._partners)
         )
 
-    def _count_places(self):
+    def _count_wanted(self):
         settings = self._settings
         return settings.near_partners + settings.region_partners + settings.far_partners
 
-    def _fill_places(self, heard):
-        """Fill free places, from a few members or, where they lack, from all.
+    def _fill_vacancies(self, region_answer_times):
+        """Add partners from a sample or, where it lacks members, from the table.
 
-        A zone of few members in a large mesh is hardly met with among a few.
+        A sample hardly ever contains a member of a small zone in a large mesh.
         """
         for candidates in (
-            self._table.draw(self._random, DRAWN_MEMBERS),
+            self._table.draw(self._random, CANDIDATES),
             self._table.members(),
         ):
-            spare = self._fill_from(candidates, heard)
-            if not any(self._count_free().values()):
+            spare = self._fill_from(candidates, region_answer_times)
+            if not any(self._count_vacancies().values()):
                 return
-        missing = max(0, self._count_places() - len(self._partners))
+        missing = max(0, self._count_wanted() - len(self._partners))
         for endpoint in spare[:missing]:
             self._partners[endpoint.daemon] = None
 
-    def _fill_from(self, candidates, heard):
-        """Fill free places; return the endpoints for which there is none."""
-        free = self._count_free()
-        possible = [
+    def _fill_from(self, candidates, region_answer_times):
+        """Add partners from the candidates.
+
+        Returns:
+            The endpoints for which there is no vacancy, nearest first.
+        """
+        vacancies = self._count_vacancies()
+        eligible = [
             member.endpoint
             for member in candidates
             if member.state is not State.GONE
             and member.endpoint.daemon not in self._partners
-            and member.endpoint.daemon != self._own.daemon
+            and member.endpoint.daemon != self._local.daemon
         ]
-        self._random.shuffle(possible)
-        # The region that was heard of longest ago comes first.
-        possible.sort(key=lambda endpoint: heard.get(endpoint.region, -math.inf))
+        self._random.shuffle(eligible)
+        # The region whose last answer is the oldest comes first.
+        eligible.sort(
+            key=lambda endpoint: region_answer_times.get(endpoint.region, -math.inf)
+        )
         spare = []
-        for endpoint in possible:
+        for endpoint in eligible:
             distance = self._find_distance(endpoint)
-            if free[distance] > 0:
-                free[distance] -= 1
+            if vacancies[distance] > 0:
+                vacancies[distance] -= 1
                 self._partners[endpoint.daemon] = None
             else:
                 spare.append(endpoint)
         spare.sort(key=self._find_distance)
         return spare
 
-    def _count_free(self):
-        """Return the free places by distance."""
-        free = {
+    def _count_vacancies(self):
+        """Return the number of vacancies by distance."""
+        vacancies = {
             ZONE: self._settings.near_partners,
             REGION: self._settings.region_partners,
             FAR: self._settings.far_partners,
         }
         for daemon in self._partners:
             distance = self._find_distance(self._table.get(daemon).endpoint)
-            free[distance] = max(0, free[distance] - 1)
-        return free
+            vacancies[distance] = max(0, vacancies[distance] - 1)
+        return vacancies
 
     def _find_distance(self, endpoint):
-        if endpoint.region != self._own.region:
+        if endpoint.region != self._local.region:
             return FAR
-        return ZONE if endpoint.zone == self._own.zone else REGION
+        return ZONE if endpoint.zone == self._local.zone else REGION
