--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of which backend servers a daemon knows."""
+"""Tests of the directory of backend servers."""
 
 import unittest
 import unittest.mock
@@ -15,23 +15,23 @@
         self.directory = directory.Directory("own:1")
         self.directory.record("h:1", ONE)
 
-    def test_a_connection_knows_better_than_a_record(self):
-        """A backend server leaves; its record in the store is older."""
+    def test_report_takes_precedence_over_record(self):
+        """A backend server leaves while its record in the store is still outdated."""
         self.directory.tell("h:1", ONE._replace(leaving=True))
         self.directory.record("h:1", ONE)
         self.assertEqual(self.directory.find_endpoints("s"), ())
 
-    def test_address_that_another_service_got(self):
-        """An instance is gone and its address belongs to another service now."""
+    def test_address_reassigned_to_another_service(self):
+        """An instance is gone and its address is reassigned to another service."""
         self.directory.tell("h:1", ONE)
         self.directory.record("h:1", ONE._replace(service="t"))
         self.assertEqual(self.directory.find_endpoints("s"), ())
         self.assertEqual(len(self.directory.find_endpoints("t")), 1)
 
-    def test_many_records_are_sorted_once(self):
-        """A daemon starts and takes in a record of every other one.
+    def test_index_is_rebuilt_once_after_many_records(self):
+        """A daemon starts and receives a record of every other one.
 
-        Sorted anew for each of thousands, they would keep it busy for half a minute.
+        Sorting again after each of thousands would keep it busy for half a minute.
         """
         with unittest.mock.patch.object(
             directory, "sorted", side_effect=sorted, create=True
@@ -44,12 +44,12 @@
             self.assertEqual(len(self.directory.everyone), 500)
         self.assertEqual(sort.call_count, 1)
 
-    def test_withdrawn(self):
+    def test_withdrawn_record_removes_the_report(self):
         self.directory.tell("h:1", ONE)
         self.directory.record("h:1", None)
         self.assertEqual(self.directory.addresses, frozenset())
 
-    def test_daemon_without_backend_server_is_no_endpoint(self):
+    def test_daemon_without_backend_server_is_not_an_endpoint(self):
         endpoint = directory.build_endpoint("h:2", None, "a", "r")
         self.directory.tell("h:2", endpoint)
         self.assertEqual(self.directory.find_endpoints(""), ())
--- a/test/test_joins.py
+++ b/test/test_joins.py
@@ -1,4 +1,4 @@
-"""Records of joins and leaves, and the delays that spread them."""
+"""Tests of the records of joins and leaves, and of the delays that spread them."""
 
 import random
 import unittest
@@ -9,16 +9,16 @@
 
 
 class JoinsTest(unittest.TestCase):
-    def test_records_survive_the_log(self):
+    def test_record_round_trip(self):
         endpoint = rounds.build_endpoint(3)._replace(service="", slots=0)
         record = joins.JoinRecord((endpoint,), ("x",))
         self.assertEqual(joins.decode_record(joins.encode_record(record)), record)
 
-    def test_unreadable_record_counts_as_empty(self):
+    def test_invalid_record_is_decoded_as_empty(self):
         for data in (b"", b"\xff", b"[]", b'{"joined": [{}], "left": []}', b"3"):
             self.assertEqual(joins.decode_record(data), joins.JoinRecord())
 
-    def test_record_names_companions_and_newest_contacts_stay(self):
+    def test_record_names_companions_which_become_contacts(self):
         mesh = rounds.build_mesh(30)
         first = next(iter(mesh.values()))
         record = joins.build_join(first, random.Random(1))
@@ -36,10 +36,10 @@
         self.assertEqual(joins.load_records(newcomer, page), 1)
         self.assertEqual(len(newcomer.find_contacts()), joins.COMPANIONS)
 
-    def test_restart_of_a_zone_keeps_to_the_rate(self):
+    def test_restart_of_a_zone_keeps_to_the_append_rate(self):
         """Five hundred daemons start together.
 
-        Their joins are spread over the time that the rate asks for.
+        Unless they delay their joins, all are appended to the log within a second.
         """
         source = random.Random(1)
         delays = [joins.find_append_delay(500, source) for _ in range(500)]
@@ -49,7 +49,7 @@
         )
         self.assertLess(busiest, 2 * 5 * joins.APPEND_RATE)
 
-    def test_reads_in_total_do_not_grow_with_the_mesh(self):
+    def test_total_read_rate_is_independent_of_the_mesh_size(self):
         source = random.Random(1)
         for count in (10, 1000, 4500):
             intervals = [joins.find_read_interval(count, source) for _ in range(200)]
--- a/whinwinch/announcements.py
+++ b/whinwinch/announcements.py
@@ -1,9 +1,9 @@
-"""Which of a backend server's announcements is the newest.
+"""Ordering of a backend server's announcements.
 
-Announcements arrive late and out of order, and a backend server may start again
-under its old identifier, with its counts anew. Taken in the order of arrival, a
-late "ready" would bring a leaving backend server back, and callers would be sent
-to one that is about to vanish.
+Announcements can arrive late and out of order, and a backend server can restart
+under its previous identifier with its sequence numbers reset. If announcements
+were applied in order of arrival, a late "ready" would override "leaving", and
+callers would be sent to a backend server that is about to stop.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class State(enum.Enum):
-    """What a backend server says of itself."""
+    """State that a backend server announces."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -21,15 +21,15 @@
     """One announcement of a backend server.
 
     Attributes:
-        identity: Its identifier.
-        started: When it started, in milliseconds of its wall clock; 0 when not
-            told.
-        sequence: Number of the announcement, ascending from its start.
-        service: Its service.
-        address: "host:port" of it.
-        slots: Requests that it can work on at once.
-        state: What it says of itself.
-        warm_in: Seconds for which it stays slow after its start.
+        identity: Identifier of the backend server.
+        started: Its start time in milliseconds of its wall clock; 0 when it isn't
+            announced.
+        sequence: Sequence number of the announcement, ascending since the start.
+        service: Name of its service.
+        address: Its address as "host:port".
+        slots: Requests that it can process concurrently.
+        state: Its announced state.
+        warm_in: Seconds of warm-up that remain, in which it is still slow.
     """
 
     identity: str
@@ -43,62 +43,77 @@
 
 
 class Announcements:
-    """The newest announcement of the backend server beside the daemon."""
+    """The newest announcement of the local backend server."""
 
     def __init__(self):
         self._newest = None
-        self._left = {}
+        # Start times up to which a backend server has left, by its identifier.
+        self._departed = {}
 
     @property
     def newest(self):
-        """The announcement that counts, None while there is none."""
+        """The `Announcement` in effect, or None."""
         return self._newest
 
     def take(self, announcement):
-        """Take an announcement.
+        """Apply an announcement unless it is outdated.
+
+        Args:
+            announcement: The `Announcement`.
 
         Returns:
-            Why it doesn't count, "" when it is the newest now.
+            The reason why it was ignored, or "" when it is now the newest.
         """
-        obstacle = self._find_obstacle(announcement)
-        if not obstacle:
+        rejection = self._find_rejection(announcement)
+        if not rejection:
             self._newest = announcement
-        return obstacle
+        return rejection
 
     def leave(self, identity, started):
-        """Take the word that a backend server is gone.
+        """Apply the message that a backend server has left.
 
         Args:
-            identity: Its identifier.
-            started: The start that the word is about; 0 when not told.
+            identity: Identifier of the backend server.
+            started: Start time of the process that left, in milliseconds of its
+                wall clock; 0 when the message doesn't contain it.
 
         Returns:
-            Whether it is the one that counted.
+            Whether the announcement in effect was withdrawn.
         """
         newest = self._newest
         is_newest = newest is not None and newest.identity == identity
         if is_newest and 0 < started < newest.started:
-            # The word of an earlier start under the same identifier.
+            # An earlier process with the same identifier has left.
             return False
-        known = newest.started if is_newest else 0
-        self._left[identity] = max(started, known, self._left.get(identity, 0))
+        current = newest.started if is_newest else 0
+        self._departed[identity] = max(
+            started, current, self._departed.get(identity, 0)
+        )
         if is_newest:
             self._newest = None
         return is_newest
 
-    def _find_obstacle(self, announcement):
-        left = self._left.get(announcement.identity)
-        if left is not None and announcement.started <= left:
-            return "it has left"
+    def _find_rejection(self, announcement):
+        departed = self._departed.get(announcement.identity)
+        if departed is not None and announcement.started <= departed:
+            return "this backend server has already left"
         newest = self._newest
         if newest is None:
             return ""
         if newest.identity != announcement.identity:
             older = 0 < announcement.started < newest.started
-            return "an older start than the one known" if older else ""
+            return (
+                "a backend server with a later start is already announced"
+                if older
+                else ""
+            )
         if announcement.started != newest.started:
             older = announcement.started < newest.started
-            return "an older start than the one known" if older else ""
+            return (
+                "a backend server with a later start is already announced"
+                if older
+                else ""
+            )
         if announcement.sequence <= newest.sequence:
-            return "a newer announcement is known"
+            return "a newer announcement was already applied"
         return ""
--- a/whinwinch/directory.py
+++ b/whinwinch/directory.py
@@ -1,95 +1,100 @@
-"""Which backend servers there are, as one daemon knows them.
+"""Directory of the mesh's backend servers, as one daemon knows them.
 
-Two sources: records in the log, which introduce a daemon to those that never met
-it, and what daemons tell over their connections, which is newer. A record alone
-proves nothing of the present; a connection does.
+It has two sources: records in the log, from which a daemon learns of daemons that
+it has never connected to, and what daemons report over their connections, which is
+more recent. Only a connection, not a record, proves that a daemon is running.
 """
 
 from .messages import Endpoint
 
 
 class Directory:
-    """Endpoints by service; `Endpoint.daemon` is the address of the daemon.
+    """Index of the endpoints by service, where `Endpoint.daemon` is an address.
 
     Args:
-        own: Address of this daemon for other daemons.
+        local_address: Address under which other daemons reach this one.
     """
 
-    def __init__(self, own):
-        self._own = own
+    def __init__(self, local_address):
+        self._local_address = local_address
         self._recorded = {}
-        self._told = {}
-        # Made anew at the next look after a change: at its start a daemon takes in a
-        # record of every other one.
+        self._reported = {}
+        # After changes the index is rebuilt once, at the next lookup: a daemon that
+        # starts receives a record of every other one.
         self._is_stale = False
         self._services = {}
         self._everyone = ()
 
     @property
     def everyone(self):
-        """`Endpoint` tuples of all daemons known; a new tuple after a change."""
+        """Tuple of the `Endpoint` of every known daemon; a new object after a change."""
         self._refresh()
         return self._everyone
 
     def record(self, address, endpoint):
-        """Take a record of the log.
+        """Apply a record of the log.
 
         Args:
             address: Address of the daemon.
-            endpoint: `Endpoint`, or None when it has left for good.
+            endpoint: Its `Endpoint`, or None when the record was withdrawn.
         """
         if endpoint is None:
             self._recorded.pop(address, None)
-            self._told.pop(address, None)
+            self._reported.pop(address, None)
         else:
             before = self._recorded.get(address)
             self._recorded[address] = endpoint
             if before is not None and before.service != endpoint.service:
-                # Another instance has got the address.
-                self._told.pop(address, None)
+                # The address has been reassigned to another instance.
+                self._reported.pop(address, None)
         self._is_stale = True
 
     def tell(self, address, endpoint):
-        """Take what a daemon says of its backend server over its connection."""
-        if self._told.get(address) != endpoint:
-            self._told[address] = endpoint
+        """Apply what a daemon reports of its backend server over a connection.
+
+        Args:
+            address: Address of the daemon.
+            endpoint: The reported `Endpoint`.
+        """
+        if self._reported.get(address) != endpoint:
+            self._reported[address] = endpoint
             self._is_stale = True
 
     def forget_told(self, address):
-        """Forget what a daemon told that has started anew since.
+        """Discard what a daemon reported, so that only its record counts.
 
-        It may have said that it leaves; now only its record speaks for it.
+        The daemon may have restarted since then, after reporting that it leaves.
         """
-        if self._told.pop(address, None) is not None:
+        if self._reported.pop(address, None) is not None:
             self._is_stale = True
 
     def find_endpoints(self, service):
-        """Return the endpoints of a service, the leaving ones left out."""
+        """Return the endpoints of a service, except those that are leaving."""
         self._refresh()
         return self._services.get(service, ())
 
     def find_recorded(self, address):
-        """Return the endpoint that the log holds for an address, or None."""
+        """Return the `Endpoint` recorded in the log for an address, or None."""
         return self._recorded.get(address)
 
     def find_zone(self, address):
-        """Return the availability zone of a daemon, "" where it isn't known."""
-        endpoint = self._told.get(address) or self._recorded.get(address)
+        """Return the availability zone of the daemon at an address, "" if unknown."""
+        endpoint = self._reported.get(address) or self._recorded.get(address)
         return endpoint.zone if endpoint is not None else ""
 
     @property
     def addresses(self):
-        """Addresses of all other daemons known."""
-        known = self._recorded.keys() | self._told.keys()
-        return known - {self._own}
+        """Set of the addresses of all other known daemons."""
+        known = self._recorded.keys() | self._reported.keys()
+        return known - {self._local_address}
 
     def _refresh(self):
         if not self._is_stale:
             return
         self._is_stale = False
         services, everyone = {}, []
-        for address in sorted(self._recorded.keys() | self._told.keys()):
-            endpoint = self._told.get(address) or self._recorded[address]
+        for address in sorted(self._recorded.keys() | self._reported.keys()):
+            endpoint = self._reported.get(address) or self._recorded[address]
             everyone.append(endpoint)
             if endpoint.service and not endpoint.leaving:
                 services.setdefault(endpoint.service, []).append(endpoint)
@@ -98,11 +103,11 @@
 
 
 def build_endpoint(address, backend, zone, region):
-    """Return what others are told of a backend server.
+    """Return the `Endpoint` under which a backend server is published.
 
     Args:
-        address: Address of the daemon beside it.
-        backend: `backends.guard.Backend`, or None while none is known.
+        address: Address of its daemon.
+        backend: `backends.guard.Backend`, or None while none is announced.
         zone: Its availability zone.
         region: Its region.
     """
--- a/whinwinch/joins.py
+++ b/whinwinch/joins.py
@@ -1,22 +1,22 @@
-"""Joins and leaves on the log: how a new daemon finds the first of its peers.
-
-The load pattern: a daemon starts and knows nobody; now and then five hundred
-of a zone, or all of them, start at once. The stream holds a record for each
-join and leave, never heartbeats. A newcomer reads the end of the stream, tries
-the addresses there, and from then on has everything from gossip, so that an
-outage of the log matters only to who starts during it.
-
-A join helps only later newcomers, and a record of a living daemon among the
-last `TAIL` is enough for them. So it is put off while the stream has many
-recent ones, and daemons that aren't in the mesh yet wait the longer the more
-joins they see. Otherwise a zone that restarts would send its appends in one
-second, on top of the claims of everybody's payouts. Each record names a few
-other members too, so that the stream's end is of use although the daemons that
-wrote it are gone.
-
-All read the end of the stream again at an interval that grows with the size of
-the mesh. So a mesh that fell apart is found by its smaller part quickly, and
-whoever sees that the log's retention has left too few records adds one.
+"""Log records of joins and leaves, from which a new daemon finds its first peers.
+
+Load pattern: a daemon starts and knows no peer; now and then five hundred daemons
+of a zone, or all of them, start at once. The stream has a record of each join and
+leave, but no heartbeats. A newcomer reads the end of the stream, contacts the
+addresses found there, and receives everything else by gossip, so that an outage of
+the log only affects daemons that start during it.
+
+A join is only of use to later newcomers, and one record of a running daemon among
+the last `TAIL` is enough for them. So a join is postponed while the stream has many
+recent ones, and daemons that haven't reached the mesh yet wait longer the more
+joins they read. Otherwise a zone that restarts would send all its appends within
+one second, on top of the claims of all payouts. Each record also names a few other
+members, so that the end of the stream stays useful after the daemons that wrote it
+are gone.
+
+Every daemon rereads the end of the stream at an interval proportional to the size
+of the mesh. If the mesh splits, the smaller part finds the larger one quickly, and
+a daemon that sees that the log's retention has left too few records adds one.
 """
 
 import json
@@ -24,30 +24,34 @@
 
 from . import membertable, messages
 
-# Records read from the end of the stream.
+# Number of records read from the end of the stream.
 TAIL = 64
-# Fewer records than this in the stream, and one is added.
+# A record is added when the stream has fewer than this.
 FEWEST_RECORDS = 8
-# Appends a second by joins, mesh-wide: a few hundredths of what the log takes.
+# Appends of joins per second, over the whole mesh: a few hundredths of the log's
+# capacity.
 APPEND_RATE = 10.0
-SHORTEST_SPREAD = 1.0
-# Reads a second of the stream's end, mesh-wide, and the shortest interval.
+# Minimum time in seconds over which appends are spread.
+MIN_APPEND_SPREAD = 1.0
+# Reads of the stream's end per second, over the whole mesh.
 READ_RATE = 1.0
-SHORTEST_INTERVAL = 30.0
-# Other members named in a record.
+# Minimum mean time in seconds between two reads by one daemon.
+MIN_READ_INTERVAL = 30.0
+# Number of other members named in a record.
 COMPANIONS = 7
-# A leave isn't appended while more daemons than this joined lately: it only
-# saves newcomers a vain attempt, and the restart of a zone needs the log's
-# appends for its joins.
+# A leave isn't appended when more daemons than this have joined recently. It only
+# saves newcomers a futile attempt to connect, and the restart of a zone needs the
+# log's appends for its joins.
 MANY_JOINS = 20
+# Age in seconds up to which a join counts as recent.
 RECENT = 60.0
-# Recent records that are enough for newcomers: with seven companions each they
-# name some 250 daemons.
+# Number of recent records that is enough for newcomers: with seven companions each
+# they name some 250 daemons.
 ENOUGH_RECENT = 32
 
 
 class EndpointFields(TypedDict):
-    """What a record tells of a daemon."""
+    """Fields of a daemon in the JSON of a record."""
 
     daemon: str
     address: str
@@ -56,10 +60,10 @@
 
 
 class JoinRecord(NamedTuple):
-    """A record of the stream.
+    """Content of one record of the stream.
 
     Attributes:
-        joined: Endpoints through which the mesh may be reached.
+        joined: Endpoints of daemons through which the mesh can be reached.
         left: Identifiers of daemons that have left.
     """
 
@@ -68,7 +72,7 @@
 
 
 def encode_record(record):
-    """Return the bytes of a `JoinRecord`."""
+    """Encode a `JoinRecord` as JSON in UTF-8."""
     fields = {
         "joined": [_encode_endpoint(endpoint) for endpoint in record.joined],
         "left": list(record.left),
@@ -77,10 +81,10 @@
 
 
 def decode_record(data):
-    """Return the `JoinRecord` of some bytes.
+    """Decode a `JoinRecord` from the bytes of a record.
 
-    What can't be read counts as empty: a record of a newer version must not
-    keep a daemon from joining.
+    Invalid bytes give an empty record: a record written by a newer version must
+    not prevent a daemon from joining.
     """
     try:
         fields = json.loads(data)
@@ -92,11 +96,11 @@
 
 
 def build_join(members, random):
-    """Return the record of this daemon's join, with a few companions.
+    """Return the `JoinRecord` of this daemon, with a few other members.
 
     Args:
         members: The `membership.Membership`.
-        random: Source of the choice.
+        random: A `random.Random`.
     """
     others = [
         member.endpoint
@@ -109,10 +113,14 @@
 
 
 def load_records(members, records):
-    """Give records to the membership as contacts, oldest first.
+    """Apply records to the contacts of the membership.
+
+    Args:
+        members: The `membership.Membership`.
+        records: `logservice.client.Record` tuples, oldest first.
 
     Returns:
-        How many of the records are recent, as `count_recent` has it.
+        The number of recent joins, as counted by `count_recent`.
     """
     for record in records:
         decoded = decode_record(record.data)
@@ -126,7 +134,7 @@
 def count_recent(records):
     """Count the joins written within `RECENT` seconds before the newest record.
 
-    The log's clock alone counts: instances' clocks may differ from it.
+    Only the log's timestamps are compared, since instances' clocks may differ.
     """
     newest = max((record.time for record in records), default=0.0)
     recent = (record for record in records if record.time > newest - RECENT)
@@ -134,18 +142,23 @@
 
 
 def find_append_delay(recent_joins, random):
-    """Return the seconds to wait before a join is appended, jittered."""
-    return random.uniform(0.0, max(SHORTEST_SPREAD, recent_joins / APPEND_RATE))
+    """Return the time in seconds to wait before a join is appended, with jitter.
+
+    Args:
+        recent_joins: Number of recent joins.
+        random: A `random.Random`.
+    """
+    return random.uniform(0.0, max(MIN_APPEND_SPREAD, recent_joins / APPEND_RATE))
 
 
 def find_read_interval(members, random):
-    """Return the seconds between two reads of the stream's end, jittered.
+    """Return the time in seconds between two reads of the stream, with jitter.
 
     Args:
-        members: Number of members.
-        random: Source of jitter.
+        members: Number of members of the mesh.
+        random: A `random.Random`.
     """
-    return max(SHORTEST_INTERVAL, members / READ_RATE) * random.uniform(0.5, 1.5)
+    return max(MIN_READ_INTERVAL, members / READ_RATE) * random.uniform(0.5, 1.5)
 
 
 def _encode_endpoint(endpoint):
