--- a/whinwinch/announcements.py
+++ b/whinwinch/announcements.py
@@ -102,18 +102,10 @@
             return ""
         if newest.identity != announcement.identity:
             older = 0 < announcement.started < newest.started
-            return (
-                "a backend server with a later start is already announced"
-                if older
-                else ""
-            )
+            return "a later start was already announced" if older else ""
         if announcement.started != newest.started:
             older = announcement.started < newest.started
-            return (
-                "a backend server with a later start is already announced"
-                if older
-                else ""
-            )
+            return "a later start was already announced" if older else ""
         if announcement.sequence <= newest.sequence:
             return "a newer announcement was already applied"
         return ""
--- a/whinwinch/directory.py
+++ b/whinwinch/directory.py
@@ -27,7 +27,7 @@
 
     @property
     def everyone(self):
-        """Tuple of the `Endpoint` of every known daemon; a new object after a change."""
+        """Tuple of all known daemons' `Endpoint`, a new object after a change."""
         self._refresh()
         return self._everyone
 
