--- a/whinwinch/memberplan.py
+++ b/whinwinch/memberplan.py
@@ -23,7 +23,8 @@
             state within minutes.
         helpers: Number of members that are asked to repeat a failed probe.
         suspect_after_misses: Consecutive failed probes before a member is
-            suspected when the region has no other member to confirm it.
+            suspected when the region has no other member to confirm it, and
+            before a contact from the log is dropped.
         suspicion_timeout: Time that a suspected member has to refute the
             suspicion, in a mesh of up to ten members. It grows with the
             logarithm of their number, as the time to spread a rumour does.
--- a/whinwinch/membership.py
+++ b/whinwinch/membership.py
@@ -222,13 +222,13 @@
             del self._contacts[next(iter(self._contacts))]
 
     def load_leave(self, daemon):
-        """Remove a contact that has left according to the log."""
+        """Remove a contact that has left or was replaced by another daemon."""
         self._contacts.pop(daemon, None)
 
     # Results of the instructions.
 
     def heard(self, daemon, now):
-        """Record that a daemon answered a probe, or sent a message itself."""
+        """Record that a daemon answered a probe or sent a message."""
         self._unconfirmed.pop(daemon, None)
         self._missed_probes.pop(daemon, None)
         endpoint = self._find_endpoint(daemon)
