--- a/whinwinch/claims.py
+++ b/whinwinch/claims.py
@@ -1,19 +1,20 @@
-"""Claims of non-idempotent work, decided by the order of the log.
+"""Claims on non-idempotent work, decided by the order of the log.
 
-Load pattern: under overload callers ask again, at another daemon, while the
-first attempt is still on its way or its gatekeeper is paused. Without claims
+Failure prevented: under overload, callers retry at another daemon while the
+first attempt is still in transit or its gatekeeper is paused. Without claims,
 both attempts reach a backend server and a royalty is paid twice.
 
 A gatekeeper appends a claim (key, attempt, its own incarnation) to the stream
-of its service. The first claim of a key by offset wins, and the winner runs
-only after it has read its own claim at its offset. All readers fold the same
-records in the same order and agree without talking. Nothing here waits,
-appends or reads: records go in, verdicts come out.
+of its service. The claim with the lowest offset wins its key, and the winner
+runs only after it has read its own claim back from the log. All readers apply
+the same records in the same order, so they agree without communicating. This
+module does no I/O and never blocks: it maps log records to verdicts.
 
-A key is a UUID of version 7, so it carries when it was made. The log keeps
+A key is a UUID of version 7, so it contains its creation time. The log keeps
 records for a limited time; a key older than the window could have been claimed
-in records that are gone, so it is refused. The log's own record time decides,
-never an instance's clock. Grounds and the ways weighed: ``docs/design/claims.md``.
+in records that were dropped since, so it is refused. Ages are computed from the
+record times that the log assigns, never from an instance's clock. The design
+and its alternatives are described in ``docs/design/claims.md``.
 """
 
 import enum
@@ -26,34 +27,35 @@
 from .errors import Finding
 from .messages import Outcome, Reason
 
-# Seconds for which a key may be claimed and its claim is remembered. Long
-# enough for a person to ask again after an outage of some minutes, short
-# beside the time for which the log keeps records.
+# Default number of seconds after its creation during which a key may be claimed
+# and its claims are kept in memory. Long enough for a person to retry after an
+# outage of a few minutes, short compared with the retention of the log.
 WINDOW = 900.0
 
-# Seconds by which a key may be ahead of the log's time: callers' clocks differ.
+# Default number of seconds by which a key's creation time may be later than the
+# log's time, because the clocks of callers and of the log differ.
 AHEAD = 60.0
 
-# Attempts remembered for one key. A caller that asks again more often than
-# this within the window is refused for the key's remaining time.
-ATTEMPTS_PER_KEY = 64
+# Maximum number of attempts tracked per key. When a caller retries more often
+# than this within the window, further attempts with the key are refused.
+MAX_ATTEMPTS_PER_KEY = 64
 
-# Keys remembered by one reader, some 0.7 kB each. A service with more keys in
-# the window than this answers GAP for its older ones.
+# Default maximum number of keys kept by one reader, about 0.7 kB each. When a
+# service has more keys than this in the window, the oldest ones get GAP.
 CAPACITY = 20_000
 
 FORMAT = 1
 KEY_VERSION = 7
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 TIMESTAMP_SHIFT = 80
 
 
 class Claim(NamedTuple):
-    """A gatekeeper's wish to run an attempt.
+    """A gatekeeper's request for the right to run an attempt.
 
     Attributes:
         key: Idempotency key.
-        attempt: The attempt.
+        attempt: Identifier of the attempt.
         incarnation: Identifier of the gatekeeper's daemon, new at every start.
     """
 
@@ -63,12 +65,13 @@
 
 
 class Release(NamedTuple):
-    """A gatekeeper's word that an attempt was never run and never will be.
+    """A gatekeeper's statement that an attempt did not run and never will.
 
     Attributes:
         key: Idempotency key.
-        attempt: The attempt.
-        incarnation: The incarnation that claimed; no other may release.
+        attempt: Identifier of the attempt.
+        incarnation: Incarnation that appended the claim. A release by any other
+            incarnation has no effect on the claim.
     """
 
     key: str
@@ -77,12 +80,12 @@
 
 
 class Done(NamedTuple):
-    """A winner's note that its backend server has answered.
+    """A winner's record that its backend server has answered.
 
     Attributes:
         key: Idempotency key.
-        attempt: The attempt.
-        incarnation: The incarnation that claimed.
+        attempt: Identifier of the attempt.
+        incarnation: Incarnation that appended the claim.
         status: HTTP status of the backend server's answer.
     """
 
@@ -93,14 +96,14 @@
 
 
 class Verdict(enum.Enum):
-    """What is decided about a claim.
-
-    WON: the first claim of its key. LOST: another attempt was first, or this
-    one was given up. PENDING: not read yet. STALE: the key is too old or too
-    far ahead by the log's time. GAP: records that might hold an earlier claim
-    were dropped before this reader read them. LOG_DOWN: the log does not
-    answer. ABANDONED: nobody waits for the attempt any more, or its deadline
-    has passed. Only WON may run.
+    """Decision on a claim. Only an attempt with the verdict WON may run.
+
+    WON: this is the first claim of its key. LOST: another attempt was first, or
+    this claim was released. PENDING: the claim has not been read from the log
+    yet. STALE: by the log's time, the key is too old or too far in the future.
+    GAP: records that might contain an earlier claim were dropped before this
+    reader read them. LOG_DOWN: the log does not answer. ABANDONED: no caller
+    waits for the attempt any more, or its deadline has passed.
     """
 
     WON = "won"
@@ -113,15 +116,16 @@
 
 
 class ClaimVerdict(NamedTuple):
-    """A verdict with what is known of the winner.
+    """A verdict on a claim and the state of the attempt that holds the key.
 
     Attributes:
         verdict: The `Verdict`.
-        winner: Attempt that holds the key, or "".
+        winner: Identifier of the attempt that holds the key, or "" if none does.
         done: Whether the winner's backend server has answered.
         status: HTTP status of that answer, or 0.
-        offset: Offset of the record that decided, or -1.
-        retry_after: Seconds after which asking again is of use; 0 for none.
+        offset: Offset of the winning claim's record, or -1.
+        retry_after: Seconds after which the caller should retry; 0 if there is
+            no such hint.
     """
 
     verdict: Verdict
@@ -132,12 +136,12 @@
     retry_after: float = 0.0
 
 
-class Settlement(NamedTuple):
-    """What the caller is told of an attempt whose claim did not win.
+class ReportedOutcome(NamedTuple):
+    """Outcome that is reported to the caller when a claim did not win.
 
     Attributes:
         outcome: Outcome of the request.
-        reason: Why.
+        reason: Reason for the outcome.
     """
 
     outcome: Outcome
@@ -145,63 +149,64 @@
 
 
 class Batch(NamedTuple):
-    """What one record of the stream holds, in order.
+    """The decoded content of one record of the stream.
 
     Attributes:
-        entries: `Claim`, `Release` and `Done` entries.
+        entries: `Claim`, `Release` and `Done` entries in the order of the record.
     """
 
     entries: tuple = ()
 
 
-# A lost claim says nothing of the work itself: the winner may be running it.
-# Told "not run", the caller would make a new key and pay a second time. The
-# same holds for a key that is too old: it was good once, and an earlier ask may
-# have run. A key that is still good can be asked again, so "not run" of this
-# attempt does no harm there.
-SETTLEMENTS = {
-    Verdict.LOST: Settlement(Outcome.UNKNOWN, Reason.KEY_CLAIMED),
-    Verdict.STALE: Settlement(Outcome.UNKNOWN, Reason.KEY_AGE),
-    Verdict.GAP: Settlement(Outcome.UNKNOWN, Reason.KEY_AGE),
-    Verdict.LOG_DOWN: Settlement(Outcome.NOT_RUN, Reason.LOG_DOWN),
-    Verdict.PENDING: Settlement(Outcome.NOT_RUN, Reason.LOG_DOWN),
-    Verdict.ABANDONED: Settlement(Outcome.NOT_RUN, Reason.ABANDONED),
+# A lost claim does not mean that the work did not run: the winner may be running
+# it. If "not run" were reported, the caller would create a new key and pay a
+# second time. The same applies to a key that is too old: it was valid once, and
+# an earlier attempt with it may have run. While a key is still valid the caller
+# can retry with it, so reporting "not run" for this attempt is safe.
+OUTCOMES_BY_VERDICT = {
+    Verdict.LOST: ReportedOutcome(Outcome.UNKNOWN, Reason.KEY_CLAIMED),
+    Verdict.STALE: ReportedOutcome(Outcome.UNKNOWN, Reason.KEY_AGE),
+    Verdict.GAP: ReportedOutcome(Outcome.UNKNOWN, Reason.KEY_AGE),
+    Verdict.LOG_DOWN: ReportedOutcome(Outcome.NOT_RUN, Reason.LOG_DOWN),
+    Verdict.PENDING: ReportedOutcome(Outcome.NOT_RUN, Reason.LOG_DOWN),
+    Verdict.ABANDONED: ReportedOutcome(Outcome.NOT_RUN, Reason.ABANDONED),
 }
 
 
 def settle_verdict(verdict):
-    """Return the `Settlement` for a `ClaimVerdict` that isn't WON.
+    """Return the `ReportedOutcome` for a `ClaimVerdict` other than WON.
 
-    "Not run" is said of this attempt. A caller that asked before with the same
-    key must keep the key when it asks again.
+    "Not run" refers to this attempt only. A caller that sent an earlier attempt
+    with the same key must use the same key when it retries.
     """
-    return SETTLEMENTS[verdict.verdict]
+    return OUTCOMES_BY_VERDICT[verdict.verdict]
 
 
 def may_run(verdict, abandoned, deadline, now):
-    """Return whether an attempt may go to the backend server now.
+    """Return whether an attempt may be sent to the backend server now.
 
-    Call it directly before sending, under the lock that guards `abandoned`: a
-    gatekeeper may have been paused since the verdict was made, and have said
-    "not run" meanwhile or missed the deadline.
+    Call it directly before sending, under the lock that guards `abandoned`: the
+    gatekeeper may have been paused since it received the verdict, and may have
+    reported "not run" or missed the deadline meanwhile.
 
     Args:
         verdict: The `ClaimVerdict` of the attempt.
-        abandoned: Whether "not run" was said of the attempt.
-        deadline: Event loop time after which no answer is wanted.
-        now: Event loop time.
+        abandoned: Whether "not run" was reported for the attempt.
+        deadline: Event loop time in seconds after which the caller no longer
+            waits for an answer.
+        now: Current event loop time in seconds.
     """
     return verdict.verdict is Verdict.WON and not abandoned and now < deadline
 
 
 def make_key(wall, random_bits):
-    """Return an idempotency key: a UUID of version 7.
+    """Return a new idempotency key: a UUID of version 7.
 
     Args:
-        wall: Wall-clock seconds since 1970.
+        wall: Creation time of the key in wall-clock seconds since 1970.
         random_bits: 74 random bits, for example ``random.getrandbits(74)``.
     """
-    high = int(wall * MILLISECONDS) << TIMESTAMP_SHIFT
+    high = int(wall * MILLISECONDS_PER_SECOND) << TIMESTAMP_SHIFT
     version = KEY_VERSION << 76
     middle = ((random_bits >> 62) & 0xFFF) << 64
     variant = 0b10 << 62
@@ -210,9 +215,10 @@
 
 
 def normalize_key(key):
-    """Return a key in its one spelling, or "" when it isn't a UUID version 7.
+    """Return a key in canonical form, or "" if it isn't a UUID of version 7.
 
-    Two spellings of one UUID would otherwise be two keys, and both would run.
+    Otherwise two spellings of one UUID would count as two keys, and the work of
+    both would run.
     """
     try:
         parsed = uuid.UUID(key)
@@ -222,24 +228,24 @@
 
 
 def get_key_time(key):
-    """Return the wall-clock seconds at which a normalized key was made."""
-    return (uuid.UUID(key).int >> TIMESTAMP_SHIFT) / MILLISECONDS
+    """Return the creation time of a normalized key in wall-clock seconds."""
+    return (uuid.UUID(key).int >> TIMESTAMP_SHIFT) / MILLISECONDS_PER_SECOND
 
 
 def check_key(key, wall_now, window=WINDOW, ahead=AHEAD):
-    """Find out early whether a key cannot be claimed.
+    """Check whether a key can be claimed, before a claim is appended.
 
-    This spares the log hopeless claims. It uses this instance's clock and is
-    never the last word: the log's time decides.
+    This avoids appending claims that cannot win. The check uses this instance's
+    clock and is not final: the log's time decides.
 
     Args:
         key: The caller's idempotency key.
-        wall_now: This instance's wall-clock seconds.
-        window: Seconds for which a key may be claimed.
-        ahead: Seconds by which it may lie in the future.
+        wall_now: Current wall-clock time of this instance in seconds.
+        window: Seconds after its creation during which a key may be claimed.
+        ahead: Seconds by which its creation time may be in the future.
 
     Returns:
-        A tuple of `Finding`, empty when the key may be claimed.
+        A tuple of `Finding`, empty if the key may be claimed.
     """
     normal = normalize_key(key)
     if not normal:
@@ -249,7 +255,7 @@
         problem = f"was made more than {window:g} s ago; make a new one"
         return (Finding("idempotency key", problem),)
     if made > wall_now + ahead:
-        problem = f"is more than {ahead:g} s ahead; set the caller's clock"
+        problem = f"is more than {ahead:g} s in the future; correct the caller's clock"
         return (Finding("idempotency key", problem),)
     return ()
 
@@ -259,7 +265,7 @@
 
 
 def encode_batch(entries):
-    """Return one record of the stream.
+    """Return the encoded record that contains the given entries.
 
     Args:
         entries: `Claim`, `Release` and `Done` entries in order.
@@ -270,9 +276,10 @@
 
 
 def decode_batch(data):
-    """Return the `Batch` of a record; what is malformed is left out.
+    """Decode a record into a `Batch`, skipping malformed entries.
 
-    All readers leave out the same, so a bad record cannot divide them.
+    All readers skip the same entries, so a malformed record cannot make their
+    states diverge.
     """
     try:
         decoded = json.loads(data)
@@ -288,7 +295,7 @@
 
 
 def decode_entry(row):
-    """Return the entry of one row of a batch, or None when it is malformed."""
+    """Decode one row of a batch into its entry; return None if it is malformed."""
     if not isinstance(row, list) or not row or not isinstance(row[0], str):
         return None
     kind = KINDS.get(row[0])
@@ -302,19 +309,20 @@
     key = normalize_key(fields[0])
     if not key:
         return None
-    # A daemon's claims all carry the same incarnation; one copy is enough.
+    # All claims of a daemon have the same incarnation: share one string object.
     return kind(key, fields[1], sys.intern(fields[2]), *fields[3:])
 
 
 class KeyState:
-    """What the log has said of one key so far.
+    """State of one key after the records applied so far.
 
     Attributes:
-        made: When the key was made, in wall-clock seconds.
-        holder: The `Claim` that holds the key, or None after a release.
+        made: Creation time of the key in wall-clock seconds.
+        holder: The `Claim` that holds the key, or None if the key is free.
         offset: Offset of the holder's claim, or -1.
-        status: HTTP status noted by the holder, or None.
-        decided: Verdict and offset of each claim seen, by attempt and incarnation.
+        status: HTTP status recorded by the holder when done, or None.
+        decided: `Verdict` on each claim read so far, keyed by attempt and
+            incarnation.
     """
 
     __slots__ = ("decided", "holder", "made", "offset", "status")
@@ -328,34 +336,41 @@
 
 
 class Claims:
-    """The fold of one service's stream of claims.
+    """State built by applying one service's stream of claims in log order.
 
-    A reader may begin at any retained offset. It then knows from which time on
-    it has seen everything; keys that could have been claimed before are
-    answered GAP.
+    A reader may start at any retained offset. It tracks the time from which on
+    it has read every record; keys that could have been claimed before that time
+    get the verdict GAP.
 
     Args:
-        window: Seconds for which a key may be claimed.
-        ahead: Seconds by which a key may lie ahead of the log's time.
-        capacity: Keys remembered at most. What is dropped to stay below it is
-            answered GAP, so a flood of keys costs availability, not safety.
-        retention: Seconds for which the log promises to keep records, or 0
-            where it promises nothing.
+        window: Seconds after its creation during which a key may be claimed.
+        ahead: Seconds by which the creation time of a key may be later
+            than the log's time.
+        capacity: Maximum number of keys kept. Keys evicted to stay within it get
+            the verdict GAP, so a flood of keys costs availability, not safety.
+        retention: Seconds for which the log guarantees to keep records, or 0 if
+            it guarantees nothing.
     """
 
-    def __init__(self, window=WINDOW, ahead=AHEAD, capacity=CAPACITY, retention=0.0):
+    def __init__(
+        self,
+        window=WINDOW,
+        ahead=AHEAD,
+        capacity=CAPACITY,
+        retention=0.0,
+    ):
         self._window = window
-        self._ahead = ahead
+        self._max_clock_skew = ahead
         self._capacity = capacity
         self._retention = retention
         self._keys = {}
-        self._order = []
-        self._next = 0
+        self._keys_by_age = []
+        self._next_offset = 0
         self._time = float("-inf")
-        self._since = float("-inf")
-        self._dropped = float("-inf")
+        self._complete_since = float("-inf")
+        self._newest_evicted = float("-inf")
         self._skips = 0
-        self._resume = False
+        self._skipped = False
 
     def __len__(self):
         return len(self._keys)
@@ -363,7 +378,7 @@
     @property
     def next(self):
         """Offset of the next record to apply."""
-        return self._next
+        return self._next_offset
 
     @property
     def time(self):
@@ -372,93 +387,96 @@
 
     @property
     def skips(self):
-        """How often records were gone before they could be read."""
+        """Number of times that records were dropped before they could be read."""
         return self._skips
 
     def skip_to(self, offset):
-        """Go on at a later offset because the records before it are gone.
+        """Continue at a later offset because earlier records were dropped.
 
-        All that was known is dropped: a key's holder may have released it, or
-        a new one claimed it, in what was not read. Keys are answered GAP until
-        their whole window lies after the skip.
+        All state is discarded: in the records that were not read, the holder of
+        a key may have released it, or another attempt may have claimed it. Keys
+        get the verdict GAP until their whole window lies after the skip.
 
         Args:
             offset: Oldest offset that can still be read.
         """
-        if offset <= self._next:
+        if offset <= self._next_offset:
             return
         self._keys.clear()
-        self._order.clear()
-        self._next = offset
-        self._dropped = float("-inf")
-        self._since = float("inf")
+        self._keys_by_age.clear()
+        self._next_offset = offset
+        self._newest_evicted = float("-inf")
+        self._complete_since = float("inf")
         self._skips += 1
-        self._resume = True
+        self._skipped = True
 
     def confirm_retention(self, time, skips):
-        """Use the log's promise to learn how old the skipped records are.
+        """Limit the age of the skipped records by the log's guaranteed retention.
 
-        A service with a payout an hour has a stream whose records are all gone
-        when the next key comes. Without this each such key would be answered
-        GAP. A record appended after the skip was noticed proves that the log's
-        time then was no later than the record's, so all that was gone by then
-        is older than that time less the retention.
+        If a service makes one payout an hour, all records of its stream have
+        been dropped when the next key arrives. Without this method each such key
+        would get the verdict GAP. A record appended after the skip was detected
+        proves that the log's time at the skip was no later than the record's
+        time. All records dropped by then are therefore older than the record's
+        time minus the retention.
 
         Args:
-            time: Log's time of a record appended by this process.
-            skips: `skips` as it stood before that append began.
+            time: The log's time of a record that this process appended, in
+                wall-clock seconds.
+            skips: Value of `skips` before that append started.
         """
         if self._retention and skips == self._skips:
-            self._since = min(self._since, time - self._retention)
+            self._complete_since = min(self._complete_since, time - self._retention)
 
     def apply(self, offset, time, data):
-        """Fold in one record.
+        """Apply one record to the state.
 
         Args:
-            offset: Offset of the record; one already applied changes nothing.
+            offset: Offset of the record. A record that was already applied
+                changes nothing.
             time: The log's time of the record, in wall-clock seconds.
-            data: The record.
+            data: The encoded record.
         """
-        if offset < self._next:
+        if offset < self._next_offset:
             return
         self.skip_to(offset)
-        self._next = offset + 1
-        # A step back of the log's clock must not give old keys a second life.
+        self._next_offset = offset + 1
+        # If the log's clock is set back, expired keys must not become valid again.
         self._time = max(self._time, time)
-        if self._resume:
-            self._since = self._time
-            self._resume = False
-        self._drop_old_keys()
+        if self._skipped:
+            self._complete_since = self._time
+            self._skipped = False
+        self._drop_expired_keys()
         for entry in decode_batch(data).entries:
             self._apply_entry(entry, offset)
 
     def find_horizon(self, time):
-        """Return the time before which records no longer matter.
+        """Return the time before which records no longer affect any verdict.
 
-        A reader that begins with a record older than this covers every key
-        that can still be claimed.
+        A reader that starts with a record older than this has complete
+        information on every key that can still be claimed.
 
         Args:
             time: The log's time, in wall-clock seconds.
         """
-        return time - self._window - self._ahead
+        return time - self._window - self._max_clock_skew
 
     def is_too_old(self, made):
-        """Return whether keys made at a time can't be claimed any more.
+        """Return whether a key created at a given time can't be claimed any more.
 
         Args:
-            made: Wall-clock seconds.
+            made: Creation time of the key in wall-clock seconds.
         """
         return made < self._time - self._window
 
     def judge(self, claim):
-        """Return the `ClaimVerdict` for a claim as far as the log has been read.
+        """Return the `ClaimVerdict` on a claim after the records read so far.
 
         Args:
-            claim: The `Claim`, its key normalized.
+            claim: The `Claim`. Its key must be normalized.
         """
         made = get_key_time(claim.key)
-        if self._is_outside(made):
+        if self._is_outside_window(made):
             return ClaimVerdict(Verdict.STALE)
         if not self._covers(made):
             return ClaimVerdict(Verdict.GAP)
@@ -468,14 +486,14 @@
         identity = (claim.attempt, claim.incarnation)
         verdict = state.decided.get(identity)
         if verdict is None:
-            if len(state.decided) >= ATTEMPTS_PER_KEY:
-                return self._describe(state, Verdict.LOST)
+            if len(state.decided) >= MAX_ATTEMPTS_PER_KEY:
+                return self._build_verdict(state, Verdict.LOST)
             return ClaimVerdict(Verdict.PENDING)
-        return self._describe(state, verdict)
+        return self._build_verdict(state, verdict)
 
     def _apply_entry(self, entry, offset):
         made = get_key_time(entry.key)
-        if self._is_outside(made):
+        if self._is_outside_window(made):
             return
         state = self._keys.get(entry.key)
         if state is None:
@@ -492,50 +510,57 @@
     def _add_key(self, key, made):
         state = KeyState(made)
         self._keys[key] = state
-        heapq.heappush(self._order, (made, key))
+        heapq.heappush(self._keys_by_age, (made, key))
         if len(self._keys) > self._capacity:
-            self._drop_oldest_key()
+            self._evict_oldest_key()
         return state
 
-    def _drop_oldest_key(self):
-        made, key = heapq.heappop(self._order)
+    def _evict_oldest_key(self):
+        made, key = heapq.heappop(self._keys_by_age)
         del self._keys[key]
-        self._dropped = max(self._dropped, made)
+        self._newest_evicted = max(self._newest_evicted, made)
 
-    def _drop_old_keys(self):
-        while self._order and self._is_outside(self._order[0][0]):
-            _, key = heapq.heappop(self._order)
+    def _drop_expired_keys(self):
+        while self._keys_by_age and self._is_outside_window(self._keys_by_age[0][0]):
+            _, key = heapq.heappop(self._keys_by_age)
             del self._keys[key]
 
-    def _is_outside(self, made):
-        too_new = self._time > float("-inf") and made > self._time + self._ahead
+    def _is_outside_window(self, made):
+        too_new = (
+            self._time > float("-inf") and made > self._time + self._max_clock_skew
+        )
         return too_new or self.is_too_old(made)
 
     def _covers(self, made):
-        # No claim of the key is older than this: it would have been refused as
-        # too far ahead. The comparison is strict because the last record lost
-        # may carry the same time as the first one read.
-        return made - self._ahead > self._since and made > self._dropped
-
-    def _describe(self, state, verdict):
+        # No valid claim of the key is older than its creation time minus the
+        # allowed skew: it would have been refused as too far in the future. The
+        # comparison is strict because the last record that was dropped may have
+        # the same time as the first record read.
+        return (
+            made - self._max_clock_skew > self._complete_since
+            and made > self._newest_evicted
+        )
+
+    def _build_verdict(self, state, verdict):
         holder = state.holder.attempt if state.holder else ""
         done = state.status is not None
         return ClaimVerdict(verdict, holder, done, state.status or 0, state.offset)
 
 
 def apply_claim(state, claim, offset):
-    """Decide a claim: the first one while the key is free wins.
+    """Decide a claim: it wins if the key is free.
 
-    Each claim is decided once, by its first copy. A later copy of one that
-    lost or was released must not win: its gatekeeper has said "not run".
+    Each claim is decided once, by its first copy in the log. A later copy of a
+    claim that lost or was released must not win, because its gatekeeper has
+    reported "not run".
 
     Args:
-        state: The `KeyState`.
+        state: The `KeyState` of the claim's key.
         claim: The `Claim`.
-        offset: Offset of its record.
+        offset: Offset of the claim's record.
     """
     identity = (claim.attempt, claim.incarnation)
-    if identity in state.decided or len(state.decided) >= ATTEMPTS_PER_KEY:
+    if identity in state.decided or len(state.decided) >= MAX_ATTEMPTS_PER_KEY:
         return
     if state.holder is not None or state.status is not None:
         state.decided[identity] = Verdict.LOST
@@ -546,23 +571,23 @@
 
 
 def apply_release(state, release):
-    """Free a key whose holder releases it, and void a claim not seen yet.
+    """Free a key that its holder releases, and void a claim not yet read.
 
-    A claim whose append timed out may reach the log after its release. Were
-    the release forgotten, that claim would win and block the key, or be run by
-    a gatekeeper that has already said "not run".
+    A claim whose append timed out may reach the log after its release. If the
+    release were not recorded, that claim would win and block the key, or would
+    be run by a gatekeeper that has already reported "not run".
 
     Args:
-        state: The `KeyState`.
+        state: The `KeyState` of the release's key.
         release: The `Release`.
     """
     identity = (release.attempt, release.incarnation)
-    if identity not in state.decided and len(state.decided) >= ATTEMPTS_PER_KEY:
+    if identity not in state.decided and len(state.decided) >= MAX_ATTEMPTS_PER_KEY:
         return
     if state.decided.get(identity) is not Verdict.WON:
         state.decided[identity] = Verdict.LOST
         return
-    # Work that was answered was run: such a release is a fault of its writer.
+    # A release after an answer is a bug of its writer: answered work did run.
     if state.status is None:
         state.decided[identity] = Verdict.LOST
         state.holder = None
@@ -570,11 +595,11 @@
 
 
 def apply_done(state, done):
-    """Note the status of the answer that the holder's backend server gave.
+    """Record the status of the answer from the holder's backend server.
 
     Args:
-        state: The `KeyState`.
-        done: The `Done`.
+        state: The `KeyState` of the entry's key.
+        done: The `Done` entry.
     """
     holder = state.holder
     if holder is None or state.status is not None:
