--- a/test/test_configuration.py
+++ b/test/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of configuration as a function of the log's order."""
+"""Tests of the configuration, which depends only on the log's order."""
 
 import json
 import unittest
@@ -20,7 +20,7 @@
 
 
 class Log:
-    """Records in a list, as the log would keep them."""
+    """In-memory log that keeps its records in a list."""
 
     def __init__(self):
         self.records = []
@@ -46,7 +46,7 @@
 
 
 class AcceptanceTest(ReaderTest):
-    def test_a_change_of_the_present_version_is_accepted(self):
+    def test_a_change_of_the_current_version_is_accepted(self):
         first = self.write(change(1))
         self.assertTrue(first.accepted)
         second = self.write(change(2, replaces=first.version, body={"n": 2}))
@@ -54,9 +54,10 @@
         self.assertEqual(self.reader.get("service", "catalog").body, {"n": 2})
 
     def test_of_two_racing_operators_the_first_by_offset_wins(self):
-        """Two operators change one resource at once, each from what they saw.
+        """Guards against one operator silently overwriting another's change.
 
-        The second is told of the conflict and the version that it met.
+        Two operators change a resource concurrently, both based on the same
+        version. The second change is a conflict that reports the current version.
         """
         first = self.write(change(1))
         winner = self.write(change(2, replaces=first.version, body={"n": 2}))
@@ -65,10 +66,11 @@
         self.assertEqual(loser.present, winner.version)
         self.assertEqual(self.reader.get("service", "catalog").body, {"n": 2})
 
-    def test_a_doubled_change_is_accepted_once(self):
-        """An append's answer is lost and the operator's tool writes it again.
+    def test_a_duplicate_change_is_accepted_once(self):
+        """Guards against a duplicate change restoring a deleted resource.
 
-        Meanwhile another operator deletes the resource; it must stay deleted.
+        The answer to an append is lost and the operator's tool appends the change
+        again. Meanwhile another operator has deleted the resource.
         """
         first = self.write(change(1))
         self.write(change(2, replaces=first.version, body=None))
@@ -84,15 +86,15 @@
         self.assertFalse(self.write(change(2)).accepted)
         self.assertEqual(self.reader.resources(), ())
 
-    def test_deleting_what_is_not_there_is_a_conflict(self):
+    def test_deleting_a_missing_resource_is_a_conflict(self):
         self.assertIs(self.write(change(1, body=None)).ground, Ground.CONFLICT)
 
     def test_malformed_records_are_rejected(self):
         good = json.loads(configuration.encode_change(change(1)))
-        cut = json.dumps({**good, "content": good["content"][:-1]}).encode()
+        truncated = json.dumps({**good, "content": good["content"][:-1]}).encode()
         wrong = configuration.encode_record("change", {"change_id": 1})
         other = configuration.encode_record("snapshot", {"resources": 3})
-        for data in (b"", b"\xff", b"7", b"[" * 100_000, cut, wrong, other):
+        for data in (b"", b"\xff", b"7", b"[" * 100_000, truncated, wrong, other):
             self.assertIs(self.write(data).ground, Ground.MALFORMED)
         self.assertTrue(self.write(change(1)).accepted)
 
@@ -104,11 +106,11 @@
         self.assertIs(ahead.ground, Ground.GAP)
         self.assertEqual(self.reader.offset, 1)
 
-    def test_what_is_remembered_stays_bounded(self):
-        for number in range(configuration.REMEMBERED + 200):
+    def test_the_number_of_kept_decisions_is_bounded(self):
+        for number in range(configuration.MAX_DECISIONS + 200):
             self.write(change(number, name=f"s{number % 7}"))
         self.assertEqual(
-            len(self.reader.take_snapshot().decisions), configuration.REMEMBERED
+            len(self.reader.take_snapshot().decisions), configuration.MAX_DECISIONS
         )
 
 
@@ -122,7 +124,7 @@
         self.assertIsNone(events[0].resource)
         self.assertEqual(len(self.reader.changes_since(0)), 2)
 
-    def test_a_watch_that_is_too_old_has_to_list_again(self):
+    def test_a_watch_that_is_too_old_must_list_again(self):
         version = 0
         for number in range(configuration.HISTORY + 1):
             version = self.write(change(number, replaces=version)).version
@@ -152,9 +154,9 @@
         self.assertIsInstance(late.changes_since(1), TooOld)
 
     def test_a_snapshot_of_a_paused_process_is_harmless(self):
-        """A process is paused with a snapshot in hand and writes it days later.
+        """Guards against an old snapshot restoring replaced resources.
 
-        Taken in, it would bring back resources that were replaced since.
+        A process is paused before it writes a snapshot and writes it days later.
         """
         old = self.reader.encode_snapshot()
         self.log.write(change(3, replaces=1, body={"n": 3}))
@@ -163,10 +165,11 @@
         self.assertFalse(self.reader.install(old))
         self.assertEqual(self.reader.get("service", "catalog").body, {"n": 3})
 
-    def test_a_snapshot_carries_what_was_decided(self):
-        """A daemon starts from a snapshot; a change from before comes again.
+    def test_a_snapshot_contains_the_decisions(self):
+        """Guards against diverging decisions on a duplicate change.
 
-        Without the change identifiers it alone would accept the copy.
+        A daemon starts from a snapshot and then reads a copy of a change that the
+        snapshot covers. Without the decisions, it alone would accept the copy.
         """
         self.log.write(change(3, replaces=1, body=None))
         self.log.replay(self.reader, 2)
@@ -175,13 +178,13 @@
         self.log.write(change(1))
         self.assertIs(late.apply(*self.log.records[3]).ground, Ground.DOUBLE)
 
-    def test_a_snapshot_that_leaves_a_gap_is_passed_over(self):
+    def test_a_snapshot_that_leaves_a_gap_is_skipped(self):
         old = self.reader.encode_snapshot()
         self.log.write(change(3, replaces=1, body={"n": 3}))
         self.log.write(old)
         self.assertIsNone(configuration.choose_snapshot(self.log.records[3:], 3))
 
-    def test_a_snapshot_of_the_future_is_malformed(self):
+    def test_a_snapshot_that_covers_later_records_is_malformed(self):
         snapshot = self.reader.take_snapshot()._replace(covers=99)
         data = configuration.encode_snapshot(snapshot)
         self.assertIs(self.reader.apply(2, 1.0, data).ground, Ground.MALFORMED)
@@ -194,7 +197,7 @@
         self.assertFalse(is_due(0, 0, 9999.0))
         self.assertFalse(is_due(10, 9, 1199.0))
         self.assertTrue(is_due(10, 9, 1200.0))
-        self.assertTrue(is_due(configuration.SNAPSHOT_RECORDS, 0, 0.0))
+        self.assertTrue(is_due(configuration.SNAPSHOT_INTERVAL_RECORDS, 0, 0.0))
 
 
 if __name__ == "__main__":
--- a/whinwinch/configuration.py
+++ b/whinwinch/configuration.py
@@ -1,19 +1,19 @@
-"""Accepted configuration as a pure function of the log's order.
+"""Accepted configuration, computed from the log's records in their order.
 
-Load pattern: 1,600 changes a day by operators and tooling that race one another
-while the log is slow or down. Without one order two daemons could hold
-different winners of a race, and a late reader could bring back a resource that
-was replaced.
+Load: 1,600 changes a day by operators and tools that make concurrent changes
+while the log is slow or down. Without a single order, two daemons could accept
+different changes of the same resource, and a reader that lags behind could
+restore a resource that was replaced.
 
-A change states the version that it replaces. It is accepted when that is still
-the present version at its place in the log, and rejected otherwise, by every
-reader alike. Bodies are not checked here: a check that differs between two
-releases of this program would divide the readers. They are checked before a
+A change states the version that it replaces. Every reader accepts it if that is
+still the current version at the change's offset in the log, and rejects it
+otherwise. Bodies are not validated here: if two releases of this program
+validated differently, their states would diverge. Bodies are validated before a
 change is written and again, leniently, where they are used.
 
-Readers move forward only, without gaps. A snapshot states the offset it covers
-and is taken in only by a reader that is behind that offset, so one that a
-paused process writes late changes nothing.
+Readers only move forward, without gaps. A snapshot states the offset up to which
+it covers the log and is installed only by a reader behind that offset. A snapshot
+that a paused process writes late therefore changes nothing.
 """
 
 import collections
@@ -24,37 +24,40 @@
 
 FORMAT = 1
 
-# Accepted changes kept for watches. A day has 1,600, so a watch may be cut off
-# for more than half a day before it must list again.
+# Maximum number of accepted changes kept for watches. With 1,600 changes a day, a
+# watch can be disconnected for more than half a day before it must list again.
 HISTORY = 1_000
 
-# Change identifiers remembered, and for how long by the log's time. A doubled
-# copy of an append comes within seconds or minutes; an hour is far beyond, and
-# the count bounds the memory and the snapshot when somebody floods the stream.
-REMEMBERED = 1_000
-REMEMBERED_SECONDS = 3_600.0
+# Number of decisions kept to detect duplicate changes, and the seconds for which
+# they are kept by the log's time; a decision is dropped when either is exceeded.
+# A duplicate append arrives within seconds or minutes, so an hour is ample. The
+# number bounds the memory and the snapshot size when the stream is flooded.
+MAX_DECISIONS = 1_000
+DECISION_RETENTION_SECONDS = 3_600.0
 
-# Bytes of one change record; more is rejected, so that no reader chokes on it.
-LARGEST_CHANGE = 256 * 1024
+# Maximum size of a change record in bytes. Larger ones are rejected, so that no
+# reader has to process an excessive record.
+MAX_CHANGE_BYTES = 256 * 1024
 
-# A snapshot is due after this many records, so that a new daemon catches up in
-# a few reads, and after this part of the retention, so that two writers in a
-# row may fail before the records it covers are dropped.
-SNAPSHOT_RECORDS = 500
-SNAPSHOT_PART = 1 / 3
+# A snapshot is due after this number of records, so that a new daemon catches up
+# in a few reads, or after this fraction of the retention, so that two consecutive
+# writers may fail before the records it covers are dropped.
+SNAPSHOT_INTERVAL_RECORDS = 500
+SNAPSHOT_RETENTION_FRACTION = 1 / 3
 
 
 class Change(NamedTuple):
-    """A change that somebody wants to make.
+    """A requested change of one resource.
 
     Attributes:
-        change_id: Identifier, the same in each copy of the change.
+        change_id: Identifier of the change, the same in each copy of it.
         kind: Kind of the resource, for example ``service``.
         name: Name of the resource.
-        replaces: Version that the change replaces; 0 where none may exist.
-        body: The resource's new body; None deletes it.
-        author: Who made it.
-        made: When, in the author's words.
+        replaces: Version that the change replaces; 0 if the resource must not
+            exist yet.
+        body: The resource's new body; None deletes the resource.
+        author: Name of the operator or tool that made the change.
+        made: Time of the change as stated by the author, as text.
     """
 
     change_id: str
@@ -72,10 +75,10 @@
     Attributes:
         kind: Kind of the resource.
         name: Name of the resource.
-        version: Offset of the change that made it so, plus one, so that the
-            first record of the log has a version other than 0.
+        version: Offset of the change that created this version, plus one, so
+            that the first record of the log has a version other than 0.
         body: The body.
-        author: Who made the change.
+        author: Author of that change.
         changed: The log's time of the change, in wall-clock seconds.
     """
 
@@ -88,7 +91,7 @@
 
 
 class Ground(enum.Enum):
-    """Why a record was accepted or not."""
+    """Reason why a record was accepted or not."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -100,14 +103,14 @@
 
 
 class Applied(NamedTuple):
-    """What became of one record.
+    """Result of applying one record.
 
     Attributes:
-        accepted: Whether the change is in force, now or by an earlier copy.
-        ground: Why.
-        change: The `Change`, or None where the record holds none.
-        version: Version that the change made, or of its earlier copy; 0 for none.
-        present: Version of the resource in force that the change met, 0 for none.
+        accepted: Whether the change, or an earlier copy of it, was accepted.
+        ground: Reason for the result.
+        change: The `Change`, or None if the record contains none.
+        version: Version that the change or its earlier copy created; 0 if none.
+        present: Version of the resource before the change; 0 if it did not exist.
     """
 
     accepted: bool
@@ -118,12 +121,12 @@
 
 
 class Decision(NamedTuple):
-    """What was decided of a change identifier.
+    """Decision on a change, kept to detect duplicate copies.
 
     Attributes:
-        change_id: The identifier.
+        change_id: Identifier of the change.
         accepted: Whether the first copy was accepted.
-        version: Version that it made, or 0.
+        version: Version that the first copy created, or 0.
         time: The log's time of the first copy.
     """
 
@@ -134,16 +137,16 @@
 
 
 class Event(NamedTuple):
-    """One accepted change as a watch reports it.
+    """An accepted change as reported to a watch.
 
     Attributes:
-        version: Version of the configuration after it.
+        version: Version of the configuration after the change.
         kind: Kind of the resource.
         name: Name of the resource.
         resource: The `Resource`, or None after a deletion.
         change_id: Identifier of the change.
-        author: Who made it.
-        changed: The log's time, in wall-clock seconds.
+        author: Author of the change.
+        changed: The log's time of the change, in wall-clock seconds.
     """
 
     version: int
@@ -156,10 +159,10 @@
 
 
 class TooOld(NamedTuple):
-    """A watch asked for changes that are no longer kept; it must list again.
+    """Result for a watch whose version is too old; it must list again.
 
     Attributes:
-        oldest: Oldest version from which changes can be told.
+        oldest: Oldest version after which all changes are still kept.
     """
 
     oldest: int
@@ -169,11 +172,11 @@
     """The whole configuration after a prefix of the log.
 
     Attributes:
-        covers: Every record below this offset is contained.
+        covers: Offset up to which, exclusively, all records are covered.
         version: Version of the configuration.
-        time: Highest log time of the records contained.
-        resources: All `Resource`.
-        decisions: The `Decision` remembered, in order.
+        time: Highest log time of the covered records, in wall-clock seconds.
+        resources: Every `Resource` in force.
+        decisions: The kept `Decision` entries, oldest first.
     """
 
     covers: int
@@ -187,8 +190,8 @@
     """Whether a snapshot should be written now.
 
     Attributes:
-        due: Whether it should.
-        ground: Why, for the log line.
+        due: Whether a snapshot is due.
+        ground: Reason, for the log line.
     """
 
     due: bool
@@ -196,12 +199,12 @@
 
 
 def encode_change(change):
-    """Return the log record of a change."""
+    """Encode a `Change` as a log record."""
     return encode_record("change", change._asdict())
 
 
 def encode_snapshot(snapshot):
-    """Return the log record of a `Snapshot`."""
+    """Encode a `Snapshot` as a log record."""
     fields = snapshot._asdict()
     fields["resources"] = [list(resource) for resource in snapshot.resources]
     fields["decisions"] = [list(decision) for decision in snapshot.decisions]
@@ -209,10 +212,10 @@
 
 
 def encode_record(kind, fields):
-    """Return one record of the stream with its digest.
+    """Encode the fields of a change or snapshot with a digest as a log record.
 
-    The digest tells a snapshot that was cut off or altered on the way from a
-    whole one; a reader that took in a part would lose resources silently.
+    The digest detects a snapshot that was truncated or altered in transit. A
+    reader that installed a part of a snapshot would silently lose resources.
     """
     content = json.dumps(fields, separators=(",", ":"), sort_keys=True)
     digest = hashlib.sha256(content.encode()).hexdigest()
@@ -221,7 +224,7 @@
 
 
 def decode_record(data):
-    """Return the `Change` or `Snapshot` of a record, or None when malformed."""
+    """Decode a record into a `Change` or `Snapshot`; return None if malformed."""
     try:
         head = json.loads(data)
         if head["format"] != FORMAT:
@@ -229,7 +232,7 @@
         content = head["content"]
         if hashlib.sha256(content.encode()).hexdigest() != head["digest"]:
             return None
-        if head["type"] == "change" and len(data) > LARGEST_CHANGE:
+        if head["type"] == "change" and len(data) > MAX_CHANGE_BYTES:
             return None
         return decode_content(head["type"], json.loads(content))
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
@@ -237,10 +240,14 @@
 
 
 def decode_content(kind, fields):
-    """Return the `Change` or `Snapshot` in decoded fields, or None.
+    """Build a `Change` or `Snapshot` from decoded fields; None if malformed.
+
+    Args:
+        kind: Type of the record, ``change`` or ``snapshot``.
+        fields: Decoded fields of the record.
 
     Raises:
-        KeyError, TypeError, ValueError: When fields are missing or wrong.
+        KeyError, TypeError, ValueError: If fields are missing or invalid.
     """
     if kind == "change":
         change = Change(**fields)
@@ -250,8 +257,8 @@
         decisions = tuple(Decision(*row) for row in fields.pop("decisions"))
         snapshot = Snapshot(resources=resources, decisions=decisions, **fields)
         numbers = (snapshot.covers, snapshot.version)
-        whole = all(type(number) is int for number in numbers)
-        return snapshot if whole and type(snapshot.time) is float else None
+        valid = all(type(number) is int for number in numbers)
+        return snapshot if valid and type(snapshot.time) is float else None
     return None
 
 
@@ -268,13 +275,15 @@
 
 
 def choose_snapshot(records, first):
-    """Return the data of the snapshot from which a reader can go on, or None.
+    """Return the data of the snapshot from which a reader can continue, or None.
 
-    A snapshot that covers less than what retention dropped leaves a gap: a
-    change in the gap would be missing for good. It is passed over.
+    A snapshot that ends before the oldest readable record is skipped: a change
+    in the gap between the two would be missing for good. Of the others, the one
+    that covers the most records is chosen.
 
     Args:
-        records: Records with `offset` and `data`, for example of one page.
+        records: Records with `offset` and `data`, for example the result of one
+            read.
         first: Oldest offset that can be read.
     """
     best = None
@@ -290,20 +299,25 @@
 
 
 def plan_snapshot(
-    offset, covered, snapshot_time, log_time, retention, records=SNAPSHOT_RECORDS
+    offset,
+    covered,
+    snapshot_time,
+    log_time,
+    retention,
+    records=SNAPSHOT_INTERVAL_RECORDS,
 ):
     """Decide whether a snapshot is due.
 
-    Any daemon that reads the log may write it; two copies do no harm.
+    Any daemon that reads the log may write the snapshot; two copies are harmless.
 
     Args:
         offset: Next offset to read.
-        covered: Offset covered by the last snapshot seen; 0 for none.
-        snapshot_time: The log's time of that snapshot; of the first record
-            read where there is none.
-        log_time: The log's time now, as far as known.
+        covered: Offset covered by the last snapshot read; 0 if there is none.
+        snapshot_time: The log's time of that snapshot or, if there is none, of
+            the first record read, in wall-clock seconds.
+        log_time: Latest known time of the log, in wall-clock seconds.
         retention: Seconds for which the log keeps records.
-        records: Records after which one is due.
+        records: Number of records not covered after which a snapshot is due.
 
     Returns:
         A `SnapshotPlan`.
@@ -313,7 +327,7 @@
     if offset - covered >= records:
         return SnapshotPlan(True, f"{offset - covered} records not covered")
     age = log_time - snapshot_time
-    if age >= retention * SNAPSHOT_PART:
+    if age >= retention * SNAPSHOT_RETENTION_FRACTION:
         return SnapshotPlan(True, f"the last one is {age:.0f} s old")
     return SnapshotPlan(False, "the last one is recent")
 
@@ -325,9 +339,11 @@
         offset: Next offset to read.
         version: Version of the last accepted change.
         time: Highest log time read, in wall-clock seconds.
-        snapshot_covers: Offset covered by the last snapshot read, 0 for none.
-        snapshot_time: Log time of that snapshot; of the first record read
-            where there was none.
+        snapshot_covers: Offset covered by the last snapshot read; 0 if there was
+            none.
+        snapshot_time: Log time of that snapshot or, if there was none, of the
+            first record read, in wall-clock seconds; None before the first
+            record.
     """
 
     def __init__(self):
@@ -339,21 +355,22 @@
         self._resources = {}
         self._decisions = collections.OrderedDict()
         self._history = collections.deque(maxlen=HISTORY)
-        self._floor = 0
+        self._history_start_version = 0
 
     def apply(self, offset, time, data):
-        """Take in the next record.
+        """Apply the next record.
 
-        A record read before changes nothing; one after a gap is refused, and
-        the reader has to read from `offset` or take in a snapshot first.
+        A record that was already read changes nothing. A record after a gap is
+        not applied: the reader must first read from `offset` or install a
+        snapshot.
 
         Args:
             offset: Offset of the record.
-            time: The log's time of it, in wall-clock seconds.
-            data: The record.
+            time: The log's time of the record, in wall-clock seconds.
+            data: The encoded record.
 
         Returns:
-            `Applied`.
+            The result as `Applied`.
         """
         if offset < self.offset:
             return Applied(False, Ground.READ_BEFORE)
@@ -367,39 +384,41 @@
         if isinstance(decoded, Change):
             return self._apply_change(decoded, offset + 1)
         if isinstance(decoded, Snapshot):
-            return self._note_snapshot(decoded, offset)
+            return self._record_snapshot(decoded, offset)
         return Applied(False, Ground.MALFORMED)
 
     def resources(self):
-        """Return all resources in force, by kind and name."""
+        """Return all resources in force, sorted by kind and name."""
         return tuple(self._resources[place] for place in sorted(self._resources))
 
     def get(self, kind, name):
-        """Return a resource in force, or None."""
+        """Return the resource of a kind and name, or None if there is none."""
         return self._resources.get((kind, name))
 
     def changes_since(self, version):
         """Return the accepted changes after a version.
 
         Args:
-            version: Version that the watch has seen.
+            version: Last version that the watch has received.
 
         Returns:
-            A tuple of `Event`, or `TooOld` when some of them aren't kept.
+            A tuple of `Event`, oldest first, or `TooOld` if some of them are no
+            longer kept.
         """
-        if version < self._floor:
-            return TooOld(self._floor)
+        if version < self._history_start_version:
+            return TooOld(self._history_start_version)
         return tuple(event for event in self._history if event.version > version)
 
     def find_decision(self, change_id):
-        """Return the `Decision` on a change, or None.
+        """Return the `Decision` on a change, or None if none is kept.
 
-        A writer whose append was not answered looks here after reading on.
+        A writer whose append was not answered reads further records and then
+        checks here whether its change was accepted.
         """
         return self._decisions.get(change_id)
 
     def take_snapshot(self):
-        """Return the `Snapshot` of the present state."""
+        """Return a `Snapshot` of the current state."""
         return Snapshot(
             covers=self.offset,
             version=self.version,
@@ -409,21 +428,21 @@
         )
 
     def encode_snapshot(self):
-        """Return the log record of a snapshot of the present state."""
+        """Encode a snapshot of the current state as a log record."""
         return encode_snapshot(self.take_snapshot())
 
     def install(self, data):
-        """Take in a snapshot, from the log or from a peer, if it is newer.
+        """Install a snapshot from the log or from a peer if it is newer.
 
-        One that covers no more than was read is left alone: a process that
-        was paused may hand on state of long ago, and the configuration must
-        not go back to it.
+        A snapshot that covers no more than was already read is ignored: a
+        process that was paused may send an old state, and the configuration must
+        not revert to it.
 
         Args:
-            data: The snapshot record.
+            data: The encoded snapshot record.
 
         Returns:
-            Whether it was taken in.
+            Whether the snapshot was installed.
         """
         snapshot = decode_record(data)
         if not isinstance(snapshot, Snapshot) or snapshot.covers <= self.offset:
@@ -439,27 +458,29 @@
             (decision.change_id, decision) for decision in snapshot.decisions
         )
         self._history.clear()
-        self._floor = snapshot.version
+        self._history_start_version = snapshot.version
         return True
 
     def _apply_change(self, change, version):
-        known = self._decisions.get(change.change_id)
-        if known:
-            # The writer appended again after a lost answer. Were the copy judged
-            # anew, a deleted resource could come back, or a change whose author
-            # was told "conflict" take effect later.
+        earlier = self._decisions.get(change.change_id)
+        if earlier:
+            # The writer appended the change again after a lost answer. If the
+            # copy were decided again, a deleted resource could be restored, or a
+            # change that was reported as a conflict could take effect later.
             ground = Ground.DOUBLE
-            return Applied(known.accepted, ground, change, known.version)
+            return Applied(earlier.accepted, ground, change, earlier.version)
         present = self.get(change.kind, change.name)
-        found = present.version if present else 0
-        accepted = change.replaces == found and not (found == 0 and change.body is None)
+        current = present.version if present else 0
+        accepted = change.replaces == current and not (
+            current == 0 and change.body is None
+        )
         self._remember(change, accepted, version)
         if not accepted:
-            return Applied(False, Ground.CONFLICT, change, 0, found)
-        self._put(change, version)
-        return Applied(True, Ground.ACCEPTED, change, version, found)
+            return Applied(False, Ground.CONFLICT, change, 0, current)
+        self._apply_accepted(change, version)
+        return Applied(True, Ground.ACCEPTED, change, version, current)
 
-    def _put(self, change, version):
+    def _apply_accepted(self, change, version):
         place = (change.kind, change.name)
         resource = None
         if change.body is None:
@@ -468,7 +489,7 @@
             resource = Resource(*place, version, change.body, change.author, self.time)
             self._resources[place] = resource
         if len(self._history) == HISTORY:
-            self._floor = self._history[0].version
+            self._history_start_version = self._history[0].version
         self.version = version
         self._history.append(
             Event(version, *place, resource, change.change_id, change.author, self.time)
@@ -479,15 +500,15 @@
             change.change_id, accepted, version if accepted else 0, self.time
         )
         self._decisions[change.change_id] = decision
-        oldest = self.time - REMEMBERED_SECONDS
+        oldest = self.time - DECISION_RETENTION_SECONDS
         while self._decisions:
             first = next(iter(self._decisions.values()))
-            if len(self._decisions) <= REMEMBERED and first.time >= oldest:
+            if len(self._decisions) <= MAX_DECISIONS and first.time >= oldest:
                 return
             self._decisions.popitem(last=False)
 
-    def _note_snapshot(self, snapshot, offset):
-        # A snapshot that claims to cover what came after it is a fault.
+    def _record_snapshot(self, snapshot, offset):
+        # A snapshot cannot cover records that follow it in the log.
         if snapshot.covers > offset:
             return Applied(False, Ground.MALFORMED)
         if snapshot.covers > self.snapshot_covers:
