--- a/test/test_resources.py
+++ b/test/test_resources.py
@@ -1,4 +1,4 @@
-"""Tests of declared resources and of finding the call of a request."""
+"""Tests of the validation of resources and of matching requests to calls."""
 
 import copy
 import unittest
@@ -49,7 +49,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    def test_reads_every_field(self):
+    def test_parses_every_field(self):
         spec = resources.check_resource(ROYALTIES).spec
         payout = next(call for call in spec.calls if call.name == "payout")
         self.assertEqual(payout.importance, Importance.CRITICAL)
@@ -70,7 +70,7 @@
             "spec.calls[1].importance",
         }
         self.assertLessEqual(places, set(problems))
-        self.assertIn("'retry_budget' is meant", problems["spec.retry_buget"])
+        self.assertIn("did you mean 'retry_budget'?", problems["spec.retry_buget"])
 
     def test_true_is_not_a_number_and_one_is_not_true(self):
         calls = [{"name": "a", "idempotent": 1}]
@@ -87,9 +87,10 @@
         self.assertIn("document", find_problems(long))
 
     def test_key_window_stays_below_the_retention_of_the_log(self):
-        """The log drops a claim while its key is still good.
+        """Guards against a key that is valid for longer than its claim is kept.
 
-        The same key would then win a second claim and a poet is paid twice.
+        Once the log has dropped the claim, the same key would win a second claim,
+        and a royalty would be paid twice.
         """
         self.assertEqual(find_problems(ROYALTIES, max_key_window=900), {})
         problems = find_problems(ROYALTIES, max_key_window=600)
@@ -100,11 +101,11 @@
         problems = find_problems(change_spec(calls=calls))
         self.assertEqual(set(problems), {"spec.calls[1].name", "spec.calls[1].path"})
 
-    def test_unreadable_mark_counts_as_non_idempotent(self):
-        """A record of another version says something odd of a payout.
+    def test_invalid_idempotent_field_counts_as_non_idempotent(self):
+        """Guards against repeating a payout after an unknown outcome.
 
-        Were it read as idempotent, the payout would be sent again after an
-        unknown outcome.
+        A record of another version of this program has an unexpected value in
+        `idempotent`; the call must not count as idempotent.
         """
         document = change_spec(calls=[{"name": "a", "idempotent": "no"}])
         call = resources.read_resource(document).resource.spec.calls[0]
@@ -130,7 +131,7 @@
             ),
         )
     )
-    def test_any_json_is_read_or_refused(self, document):
+    def test_any_json_is_parsed_or_refused(self, document):
         resources.read_resource(document)
         find_problems(document)
 
@@ -152,10 +153,10 @@
         self.assertEqual(self.match("POST", "/payouts-old"), "")
 
     def test_other_spellings_of_a_path_are_the_same_call(self):
-        """A client writes the path of a payout in an unusual way.
+        """Guards against repeating a payout whose path is spelled unusually.
 
-        The backend server decodes it and pays; a daemon that compared it as
-        sent would treat the payout as harmless and repeat it.
+        The backend server decodes the path and pays. A daemon that compared the
+        path as sent would not recognize the payout as non-idempotent.
         """
         spellings = ["/%70ayouts", "//payouts", "/./payouts", "/x/../payouts"]
         spellings += ["/x/%2e%2e/payouts", "/payouts%2F7"]
@@ -164,10 +165,11 @@
         self.assertEqual(self.match("post", "/payouts"), "payout")
 
     def test_importance_alone_does_not_make_a_post_repeatable(self):
-        """An operator declares that everything below a path matters.
+        """Guards against repeating POSTs of a call that only states importance.
 
-        Were its POSTs sent again after an unknown outcome because of that, a
-        notification would go out twice.
+        An operator declares a call for everything below a path. If its POSTs were
+        therefore sent again after an unknown outcome, a notification would go out
+        twice.
         """
         document = change_spec(calls=[{"name": "a", "path": "/reports"}])
         spec = resources.check_resource(document).spec
@@ -180,7 +182,7 @@
         spec = resources.check_resource(document).spec
         self.assertTrue(resources.match_call(spec, "POST", "/reports").repeatable)
 
-    def test_undeclared_calls_take_the_service_default(self):
+    def test_undeclared_calls_use_the_service_default(self):
         spec = resources.default_service("archive")
         call = resources.match_call(spec, "POST", "/lists")
         self.assertEqual((call.idempotent, call.repeatable), (True, False))
--- a/whinwinch/resources.py
+++ b/whinwinch/resources.py
@@ -1,16 +1,15 @@
-"""Declared resources: what operators say of a service and its calls, checked.
-
-A resource of kind ``Service`` states how much the calls of a service matter,
-how many retries one request may cause, how long a caller waits and which calls
-must never run twice. It answers the pattern in which every client is alike
-under load: without it a royalty payout and a catalog refresh would be shed by
-chance and repeated alike. The figures here are limits on input and defaults;
-each stands beside its constant with its grounds.
-
-Reading is split from judging: `check_resource` raises all findings and guards
-the API, `read_resource` takes what the log holds and never fails, because a
-daemon that refused a record that others have in force would act on another
-configuration than they do.
+"""Validation of the resources in which operators declare services and calls.
+
+A resource of kind ``Service`` states the importance of a service's calls, how
+many retries one request may cause, how long a caller waits and which calls must
+never run twice. Without it, all calls would be treated alike under overload: a
+royalty payout would be shed as readily and retried as freely as a catalog refresh.
+The constants below are defaults and limits on input.
+
+There are two ways to parse a resource. `check_resource` is strict: it protects
+the API and raises all findings. `read_resource` is lenient: it parses what the
+log contains and never fails, because a daemon that rejected a record accepted by
+others would act on a different configuration.
 """
 
 import difflib
@@ -31,34 +30,35 @@
 METHOD_PATTERN = re.compile(r"[A-Z]{1,16}|\*")
 ANY_METHOD = "*"
 ANY_SEGMENT = "*"
-# Methods that HTTP itself does not call idempotent (RFC 9110, 9.2.2).
-UNSAFE_TO_REPEAT = frozenset({"POST", "PATCH"})
+# Methods that HTTP does not define as idempotent (RFC 9110, 9.2.2).
+NON_IDEMPOTENT_METHODS = frozenset({"POST", "PATCH"})
 
-# Matching looks at every call of the service, once for each hop of a request:
-# 200 of them cost about 0.1 ms here, of the 1.4 ms allowed for the whole path.
+# Every call of the service is compared at each hop of a request. Matching 200
+# calls takes about 0.1 ms of the 1.4 ms allowed for the whole path.
 MAX_CALLS = 200
 MAX_PATH = 512
 MAX_SEGMENTS = 32
-# One record of the log and one message between daemons have to hold it.
+# A resource must fit into one log record and one message between daemons.
 MAX_RESOURCE_BYTES = 64 * 1024
-# More findings than a person mends in one go help nobody and make long answers.
+# Bounds the length of an error response; nobody fixes more findings at once.
 MAX_FINDINGS = 100
 
-# One retry repairs one lost attempt; three leave a request 16 calls deep room
-# for a fault in three places, and are far below the multiplication at each hop
-# (3 at each of 16 hops would be 4**16 attempts).
+# Retries per root request. One retry makes up for one lost attempt, so three let
+# a request with a call depth of 16 survive faults in three places. The budget
+# avoids multiplication at each hop: 3 retries at each of 16 hops would be 4**16
+# attempts.
 DEFAULT_RETRY_BUDGET = 3
 MAX_RETRY_BUDGET = 100
-# Seconds. The callers of both first users are people in front of a page.
+# Timeouts in seconds. The default suits callers that are people waiting for a page.
 DEFAULT_TIMEOUT = 2.0
 MIN_TIMEOUT = 0.001
 MAX_TIMEOUT = 3600.0
-# Seconds; no limit of its own. The gate lets nobody wait longer than leaves time
-# for the work, and was measured so (docs/measurements.md). A service whose callers
-# give up sooner than they say declares less.
+# Maximum waiting time in seconds. The default adds no limit: the gate already ends
+# a wait that no longer leaves time for the work (see docs/measurements.md). A
+# service whose callers give up before their deadline should declare less.
 DEFAULT_MAX_WAIT = MAX_TIMEOUT
-# Seconds in which a key of non-idempotent work may be asked again. A caller's
-# clock may be off by minutes, so shorter windows than one refuse honest keys.
+# Seconds after its creation during which an idempotency key may be used. A caller's
+# clock may be off by minutes, so a window below one minute would refuse valid keys.
 DEFAULT_KEY_WINDOW = 900.0
 MIN_KEY_WINDOW = 60.0
 MAX_KEY_WINDOW = 7 * 24 * 3600.0
@@ -94,20 +94,21 @@
 
 
 class CallSpec(NamedTuple):
-    """A checked call of a service.
+    """A validated call of a service.
 
     Attributes:
         name: Name of the call, "" for calls that no resource declares.
-        method: HTTP method in capitals, or ``*`` for all.
+        method: HTTP method in upper case, or ``*`` for all.
         path: Path prefix as declared.
-        importance: How much the call matters.
-        idempotent: Whether it may run more than once. If not, a key is needed.
-        marked: Whether the resource states `idempotent`.
-        repeatable: Whether it may be sent again after an unknown outcome. A
-            POST or PATCH without a mark needs no key, but is not repeated
-            either.
-        key_window: Seconds for which its keys are good.
-        segments: The path prefix in decoded segments.
+        importance: Importance of the call.
+        idempotent: Whether the call may run more than once. If not, requests
+            need an idempotency key.
+        idempotency_declared: Whether the resource states `idempotent`.
+        repeatable: Whether the call may be sent again after an unknown outcome.
+            A POST or PATCH that doesn't declare `idempotent` needs no key, but
+            is not repeated either.
+        key_window: Seconds for which its idempotency keys are valid.
+        segments: Decoded segments of the path prefix.
     """
 
     name: str = ""
@@ -115,22 +116,24 @@
     path: str = "/"
     importance: Importance = Importance.NORMAL
     idempotent: bool = True
-    marked: bool = False
+    idempotency_declared: bool = False
     repeatable: bool = True
     key_window: float = DEFAULT_KEY_WINDOW
     segments: tuple[str, ...] = ()
 
 
 class ServiceSpec(NamedTuple):
-    """A checked service.
+    """A validated service.
 
     Attributes:
         name: Name of the service.
         importance: Importance of calls that don't state their own.
-        retry_budget: Retries that one root request may cause, over all hops.
-        timeout: Seconds; default and upper limit for the deadline of a call.
-        max_wait: Seconds for which a caller waits for a slot, at most.
-        calls: Its calls, the most specific first.
+        retry_budget: Maximum number of retries caused by one root request over
+            all hops.
+        timeout: Default and maximum time until the deadline of a call, in
+            seconds.
+        max_wait: Maximum time that a request waits for a slot, in seconds.
+        calls: The declared calls, most specific first.
     """
 
     name: str
@@ -142,97 +145,103 @@
 
 
 class ServiceResource(NamedTuple):
-    """A checked resource of kind ``Service``."""
+    """A validated resource of kind ``Service``."""
 
     kind: str
     name: str
     spec: ServiceSpec
 
 
-class Reading(NamedTuple):
-    """A resource as far as it could be read, and what was wrong with it."""
+class ParseResult(NamedTuple):
+    """A leniently parsed resource with the findings about it.
+
+    Attributes:
+        resource: The resource, with defaults in place of invalid values.
+        findings: One `Finding` for each problem.
+    """
 
     resource: ServiceResource
     findings: tuple[Finding, ...]
 
 
 class _Field(NamedTuple):
-    """One field of a JSON object.
+    """Rule for one field of a JSON object.
 
     Attributes:
-        read: Returns the checked value, or raises `ValueError` with the problem.
-        default: Value when the field is absent or wrong.
-        required: Whether its absence is a finding.
+        parse: Returns the validated value, or raises `ValueError` with the problem.
+        default: Value if the field is absent or invalid.
+        required: Whether the absence of the field is a finding.
     """
 
-    read: Callable[[Any], Any]
+    parse: Callable[[Any], Any]
     default: Any
     required: bool = False
 
 
 def check_resource(document, max_key_window=MAX_KEY_WINDOW):
-    """Check the JSON form of a resource.
+    """Validate a resource strictly.
 
     Args:
         document: The decoded JSON document, of any type.
-        max_key_window: Longest window for keys in seconds. A key that outlives
-            its claim in the log could run twice, so pass less than the time
-            for which the log keeps records.
+        max_key_window: Maximum `key_window` in seconds. Work whose key is valid
+            for longer than its claim stays in the log could run twice, so pass
+            less than the time for which the log keeps records.
 
     Returns:
-        The checked `ServiceResource`.
+        The validated `ServiceResource`.
 
     Raises:
-        errors.InputErrors: With all findings, each with its place.
+        errors.InputErrors: If there are findings; contains up to `MAX_FINDINGS`
+            of them, each with its place in the document.
     """
-    reading = read_resource(document)
-    findings = reading.findings + tuple(_check_windows(document, max_key_window))
+    parsed = read_resource(document)
+    findings = parsed.findings + tuple(_check_windows(document, max_key_window))
     raise_findings("resource", findings[:MAX_FINDINGS])
-    return reading.resource
+    return parsed.resource
 
 
 def read_resource(document):
-    """Read a resource as far as possible.
+    """Parse a resource leniently, as far as possible.
 
-    What can't be read takes its default, except that a call whose mark can't be
-    read counts as non-idempotent: running it once too few is mended by asking
-    again, running it twice is not.
+    An invalid value is replaced by its default. The exception is a call with an
+    invalid `idempotent` field, which counts as non-idempotent: work that did not
+    run can be requested again, but work that ran twice can't be undone.
 
     Args:
         document: The decoded JSON document, of any type.
 
     Returns:
-        A `Reading`.
+        A `ParseResult`.
     """
     findings = []
-    values = _read_object(document, _RESOURCE_FIELDS, "", findings)
+    values = _parse_object(document, _RESOURCE_FIELDS, "", findings)
     findings.extend(_check_size(document))
-    spec = _read_spec(values["name"], values["spec"], findings)
+    spec = _parse_spec(values["name"], values["spec"], findings)
     resource = ServiceResource(KIND_SERVICE, values["name"], spec)
-    return Reading(resource, tuple(findings))
+    return ParseResult(resource, tuple(findings))
 
 
 def default_service(name):
-    """Return the specification of a service that no resource declares."""
+    """Return the default specification for a service that no resource declares."""
     return ServiceSpec(name)
 
 
 def match_call(spec, method, path):
     """Find the declared call that a request belongs to.
 
-    The path is compared decoded and with ``.``, ``..`` and empty segments
-    resolved. Compared as sent, ``/%70ayouts`` would pass by the declaration of
-    ``/payouts`` while the backend server takes it for the same call: the mark
-    as non-idempotent would be lost and a payout could run twice.
+    The path is decoded and its ``.``, ``..`` and empty segments are resolved
+    before the comparison. Otherwise ``/%70ayouts`` would not match the declared
+    ``/payouts`` although the backend server treats both alike: the call would
+    not count as non-idempotent, and a payout could run twice.
 
     Args:
         spec: A `ServiceSpec`.
-        method: HTTP method; HEAD falls under calls declared for GET.
-        path: Path, with or without a query.
+        method: HTTP method; HEAD also matches calls declared for GET.
+        path: Path of the request, with or without a query.
 
     Returns:
-        The most specific matching `CallSpec`, or one with an empty name and
-        the service's importance when none matches.
+        The most specific matching `CallSpec` or, if none matches, one with an
+        empty name and the service's importance.
     """
     method = method.upper()
     if spec.calls:
@@ -240,12 +249,12 @@
         segments = split_path(path)
         for call in spec.calls:
             if call.method in methods and _matches(call, segments):
-                return _limit_repeats(call, method)
-    return _limit_repeats(CallSpec(importance=spec.importance), method)
+                return _restrict_repeats(call, method)
+    return _restrict_repeats(CallSpec(importance=spec.importance), method)
 
 
 def split_path(path):
-    """Return the decoded segments of a path, without query and dot segments."""
+    """Return the decoded segments of a path without its query, dots resolved."""
     path = path.partition("?")[0]
     if "%" in path:
         path = unquote(path)
@@ -259,107 +268,119 @@
 
 
 def _matches(call, segments):
-    want = call.segments
-    have = segments[: len(want)]
-    if want == have:
+    pattern = call.segments
+    prefix = segments[: len(pattern)]
+    if pattern == prefix:
         return True
-    if ANY_SEGMENT not in want or len(want) != len(have):
+    if ANY_SEGMENT not in pattern or len(pattern) != len(prefix):
         return False
-    pairs = zip(want, have, strict=True)
-    return all(segment in (ANY_SEGMENT, found) for segment, found in pairs)
+    pairs = zip(pattern, prefix, strict=True)
+    return all(segment in (ANY_SEGMENT, actual) for segment, actual in pairs)
 
 
-def _limit_repeats(call, method):
-    """Return the call, not to be repeated when a POST or PATCH has no mark."""
-    if call.marked or method not in UNSAFE_TO_REPEAT:
+def _restrict_repeats(call, method):
+    """Return the call, not repeatable if an undeclared POST or PATCH.
+
+    A POST or PATCH may be repeated only if the call declares `idempotent`.
+    """
+    if call.idempotency_declared or method not in NON_IDEMPOTENT_METHODS:
         return call
     return call._replace(repeatable=False)
 
 
-def _specificity(call):
+def _get_specificity(call):
     literal = sum(segment != ANY_SEGMENT for segment in call.segments)
     return (len(call.segments), literal, call.method != ANY_METHOD)
 
 
-def _read_spec(name, document, findings):
-    values = _read_object(document, _SPEC_FIELDS, "spec", findings)
+def _parse_spec(name, document, findings):
+    values = _parse_object(document, _SPEC_FIELDS, "spec", findings)
     if values["max_wait"] > values["timeout"]:
-        problem = "is longer than spec.timeout, after which no answer is wanted"
+        problem = "is longer than spec.timeout, after which the caller no longer waits"
         if isinstance(document, dict) and "max_wait" in document:
             findings.append(Finding("spec.max_wait", problem))
         values["max_wait"] = values["timeout"]
     calls = [
-        _read_call(call, values["importance"], f"spec.calls[{index}]", findings)
+        _parse_call(call, values["importance"], f"spec.calls[{index}]", findings)
         for index, call in enumerate(values["calls"])
     ]
     findings.extend(_check_unique(calls))
-    values["calls"] = tuple(sorted(calls, key=_specificity, reverse=True))
+    values["calls"] = tuple(sorted(calls, key=_get_specificity, reverse=True))
     return ServiceSpec(name, **values)
 
 
-def _read_call(document, importance, place, findings):
-    values = _read_object(document, _CALL_FIELDS, place, findings)
+def _parse_call(document, importance, place, findings):
+    values = _parse_object(document, _CALL_FIELDS, place, findings)
     if values["importance"] is None:
         values["importance"] = importance
-    marked = values["idempotent"] is not None
-    if not marked:
+    idempotency_declared = values["idempotent"] is not None
+    if not idempotency_declared:
         values["idempotent"] = _assume_idempotent(document, values, place, findings)
     return CallSpec(
         **values,
-        marked=marked,
+        idempotency_declared=idempotency_declared,
         repeatable=values["idempotent"],
         segments=split_path(values["path"]),
     )
 
 
 def _assume_idempotent(document, values, place, findings):
-    """Return whether a call without a readable mark may be repeated."""
+    """Return the value for a call whose `idempotent` is absent or invalid."""
     if isinstance(document, dict) and "idempotent" in document:
         return False
-    if values["method"] not in UNSAFE_TO_REPEAT:
+    if values["method"] not in NON_IDEMPOTENT_METHODS:
         return True
-    problem = f"has to be stated, true or false, for {values['method']}"
+    problem = f"must be given as true or false for {values['method']}"
     findings.append(Finding(f"{place}.idempotent", problem))
     return False
 
 
-def _read_object(document, fields, place, findings):
-    """Return a value for each field; what is wrong goes into the findings."""
+def _parse_object(document, fields, place, findings):
+    """Parse a JSON object and return a value for each field by name.
+
+    Args:
+        document: The decoded JSON document, of any type.
+        fields: The `_Field` rules by name.
+        place: Place of the object in the resource, "" for the resource itself.
+        findings: List to which a `Finding` is added for each problem.
+    """
     if not isinstance(document, dict):
-        problem = f"has to be an object, not {_name_type(document)}"
+        problem = f"must be an object, not {_describe_type(document)}"
         findings.append(Finding(place or "document", problem))
         return {name: field.default for name, field in fields.items()}
     for name in document:
         if name not in fields:
-            findings.append(Finding(_join(place, str(name)), _suggest(name, fields)))
+            findings.append(
+                Finding(_join(place, str(name)), _describe_unknown_field(name, fields))
+            )
     return {
-        name: _read_field(document, name, field, _join(place, name), findings)
+        name: _parse_field(document, name, field, _join(place, name), findings)
         for name, field in fields.items()
     }
 
 
-def _read_field(document, name, field, place, findings):
+def _parse_field(document, name, field, place, findings):
     if name not in document:
         if field.required:
             findings.append(Finding(place, "is missing"))
         return field.default
     try:
-        return field.read(document[name])
+        return field.parse(document[name])
     except ValueError as error:
         findings.append(Finding(place, str(error)))
         return field.default
 
 
-def _suggest(name, known):
-    close = difflib.get_close_matches(str(name)[:64], known, 1)
-    if close:
-        return f"is not known; {close[0]!r} is meant?"
-    return f"is not known; known here: {', '.join(known)}"
+def _describe_unknown_field(name, fields):
+    matches = difflib.get_close_matches(str(name)[:64], fields, 1)
+    if matches:
+        return f"is not a known field; did you mean {matches[0]!r}?"
+    return f"is not a known field; allowed here: {', '.join(fields)}"
 
 
 def _join(place, name):
-    shown = name if len(name) <= 64 else name[:64] + "…"
-    return f"{place}.{shown}" if place else shown
+    shortened = name if len(name) <= 64 else name[:64] + "…"
+    return f"{place}.{shortened}" if place else shortened
 
 
 def _check_size(document):
@@ -368,13 +389,13 @@
     except (TypeError, ValueError, RecursionError):
         return [Finding("document", "is not JSON")]
     if size > MAX_RESOURCE_BYTES:
-        problem = f"has {size} bytes as JSON; at most {MAX_RESOURCE_BYTES} are taken"
+        problem = f"has {size} bytes as JSON; at most {MAX_RESOURCE_BYTES} are allowed"
         return [Finding("document", problem)]
     return []
 
 
 def _check_windows(document, max_key_window):
-    """Yield a finding for each key window longer than the log keeps claims."""
+    """Yield a finding for each key window that exceeds the retention of claims."""
     spec = document.get("spec") if isinstance(document, dict) else None
     calls = spec.get("calls") if isinstance(spec, dict) else None
     for index, call in enumerate(calls if isinstance(calls, list) else []):
@@ -382,26 +403,30 @@
         if not _is_number(window) or window > MAX_KEY_WINDOW:
             continue
         if window > max_key_window:
-            problem = f"is longer than the log keeps claims: at most {max_key_window:g}"
+            problem = (
+                f"exceeds the time the log keeps claims: at most {max_key_window:g}"
+            )
             yield Finding(f"spec.calls[{index}].key_window", f"{problem} s")
 
 
 def _check_unique(calls):
-    """Yield a finding for each repeated name, and for each repeated route."""
+    """Yield a finding for each duplicate name and each duplicate route."""
     names = {}
     routes = {}
     for index, call in enumerate(calls):
         route = (call.method, call.segments)
         if call.name and names.setdefault(call.name, index) != index:
-            problem = f"{call.name!r} is the name of spec.calls[{names[call.name]}] too"
+            problem = (
+                f"{call.name!r} is also the name of spec.calls[{names[call.name]}]"
+            )
             yield Finding(f"spec.calls[{index}].name", problem)
         if routes.setdefault(route, index) != index:
-            problem = f"stands for the same requests as spec.calls[{routes[route]}]"
+            problem = f"matches the same requests as spec.calls[{routes[route]}]"
             yield Finding(f"spec.calls[{index}].path", problem)
 
 
-def _name_type(value):
-    names = {dict: "an object", list: "a list", str: "a text", type(None): "null"}
+def _describe_type(value):
+    names = {dict: "an object", list: "a list", str: "a string", type(None): "null"}
     names |= {bool: "true or false", int: "a number", float: "a number"}
     return names.get(type(value), type(value).__name__)
 
@@ -409,112 +434,112 @@
 def _is_number(value):
     if isinstance(value, bool):
         return False
-    # An int may be too large for math.isfinite, which would raise.
+    # math.isfinite raises OverflowError for an int that is too large for a float.
     return isinstance(value, int) or (isinstance(value, float) and math.isfinite(value))
 
 
-def _number(low, high, unit):
-    """Return a reader of numbers within limits."""
+def _number_parser(low, high, unit):
+    """Return a parser for numbers between two limits, in a unit."""
 
-    def read(value):
+    def parse(value):
         if not _is_number(value):
-            raise ValueError(f"has to be a number ({unit}), not {_name_type(value)}")
+            raise ValueError(f"must be a number ({unit}), not {_describe_type(value)}")
         if not low <= value <= high:
-            raise ValueError(f"has to be between {low:g} and {high:g} {unit}")
+            raise ValueError(f"must be between {low:g} and {high:g} {unit}")
         return float(value)
 
-    return read
+    return parse
 
 
-def _whole_number(low, high):
-    """Return a reader of whole numbers within limits."""
+def _integer_parser(low, high):
+    """Return a parser for integers between two limits."""
 
-    def read(value):
+    def parse(value):
         if isinstance(value, bool) or not isinstance(value, int):
-            raise ValueError(f"has to be a whole number, not {_name_type(value)}")
+            raise ValueError(f"must be an integer, not {_describe_type(value)}")
         if not low <= value <= high:
-            raise ValueError(f"has to be between {low} and {high}")
+            raise ValueError(f"must be between {low} and {high}")
         return value
 
-    return read
+    return parse
 
 
-def _text(pattern, form):
-    """Return a reader of texts of one form."""
+def _string_parser(pattern, description):
+    """Return a parser for strings that match a pattern."""
 
-    def read(value):
+    def parse(value):
         if not isinstance(value, str):
-            raise ValueError(f"has to be a text, not {_name_type(value)}")
+            raise ValueError(f"must be a string, not {_describe_type(value)}")
         if not pattern.fullmatch(value):
-            raise ValueError(f"has to be {form}")
+            raise ValueError(f"must be {description}")
         return value
 
-    return read
+    return parse
 
 
-def _read_kind(value):
+def _parse_kind(value):
     if value != KIND_SERVICE:
-        raise ValueError(f"has to be {KIND_SERVICE!r}, the only kind there is")
+        raise ValueError(f"must be {KIND_SERVICE!r}, the only supported kind")
     return value
 
 
-def _read_importance(value):
+def _parse_importance(value):
     names = [importance.name.lower() for importance in Importance]
     if not isinstance(value, str) or value not in names:
-        raise ValueError(f"has to be one of {', '.join(names)}")
+        raise ValueError(f"must be one of {', '.join(names)}")
     return Importance[value.upper()]
 
 
-def _read_boolean(value):
+def _parse_boolean(value):
     if not isinstance(value, bool):
-        raise ValueError(f"has to be true or false, not {_name_type(value)}")
+        raise ValueError(f"must be true or false, not {_describe_type(value)}")
     return value
 
 
-def _read_path(value):
+def _parse_path(value):
     if not isinstance(value, str):
-        raise ValueError(f"has to be a text, not {_name_type(value)}")
+        raise ValueError(f"must be a string, not {_describe_type(value)}")
     if not value.startswith("/") or len(value) > MAX_PATH:
-        raise ValueError(f"has to start with '/' and have at most {MAX_PATH} letters")
+        raise ValueError(f"must start with '/' and have at most {MAX_PATH} characters")
     if "?" in value or "#" in value:
-        raise ValueError("has to be without a query and fragment")
+        raise ValueError("must not contain a query or fragment")
     if len(split_path(value)) > MAX_SEGMENTS:
-        raise ValueError(f"has to have at most {MAX_SEGMENTS} segments")
+        raise ValueError(f"must have at most {MAX_SEGMENTS} segments")
     return value
 
 
-def _read_calls(value):
+def _parse_calls(value):
     if not isinstance(value, list):
-        raise ValueError(f"has to be a list, not {_name_type(value)}")
+        raise ValueError(f"must be a list, not {_describe_type(value)}")
     if len(value) > MAX_CALLS:
-        raise ValueError(f"has {len(value)} calls; at most {MAX_CALLS} are taken")
+        raise ValueError(f"has {len(value)} calls; at most {MAX_CALLS} are allowed")
     return value
 
 
-_NAME_FORM = "1 to 63 of a-z, 0-9 and '-', with a letter or digit at both ends"
-_METHOD_FORM = "an HTTP method in capitals or '*'"
+_NAME_FORMAT = "1 to 63 of a-z, 0-9 and '-', with a letter or digit at both ends"
+_METHOD_FORMAT = "an HTTP method in upper case or '*'"
 
 _RESOURCE_FIELDS = {
-    "kind": _Field(_read_kind, KIND_SERVICE, required=True),
-    "name": _Field(_text(NAME_PATTERN, _NAME_FORM), "", required=True),
+    "kind": _Field(_parse_kind, KIND_SERVICE, required=True),
+    "name": _Field(_string_parser(NAME_PATTERN, _NAME_FORMAT), "", required=True),
     "spec": _Field(lambda value: value, {}, required=True),
 }
 
 _SPEC_FIELDS = {
-    "importance": _Field(_read_importance, Importance.NORMAL),
-    "retry_budget": _Field(_whole_number(0, MAX_RETRY_BUDGET), DEFAULT_RETRY_BUDGET),
-    "timeout": _Field(_number(MIN_TIMEOUT, MAX_TIMEOUT, "s"), DEFAULT_TIMEOUT),
-    "max_wait": _Field(_number(0, MAX_TIMEOUT, "s"), DEFAULT_MAX_WAIT),
-    "calls": _Field(_read_calls, []),
+    "importance": _Field(_parse_importance, Importance.NORMAL),
+    "retry_budget": _Field(_integer_parser(0, MAX_RETRY_BUDGET), DEFAULT_RETRY_BUDGET),
+    "timeout": _Field(_number_parser(MIN_TIMEOUT, MAX_TIMEOUT, "s"), DEFAULT_TIMEOUT),
+    "max_wait": _Field(_number_parser(0, MAX_TIMEOUT, "s"), DEFAULT_MAX_WAIT),
+    "calls": _Field(_parse_calls, []),
 }
 
 _CALL_FIELDS = {
-    "name": _Field(_text(NAME_PATTERN, _NAME_FORM), "", required=True),
-    "method": _Field(_text(METHOD_PATTERN, _METHOD_FORM), ANY_METHOD),
-    "path": _Field(_read_path, "/"),
-    "importance": _Field(_read_importance, None),
-    "idempotent": _Field(_read_boolean, None),
+    "name": _Field(_string_parser(NAME_PATTERN, _NAME_FORMAT), "", required=True),
+    "method": _Field(_string_parser(METHOD_PATTERN, _METHOD_FORMAT), ANY_METHOD),
+    "path": _Field(_parse_path, "/"),
+    "importance": _Field(_parse_importance, None),
+    "idempotent": _Field(_parse_boolean, None),
     "key_window": _Field(
-        _number(MIN_KEY_WINDOW, MAX_KEY_WINDOW, "s"), DEFAULT_KEY_WINDOW
+        _number_parser(MIN_KEY_WINDOW, MAX_KEY_WINDOW, "s"), DEFAULT_KEY_WINDOW
     ),
 }
