--- a/test/test_traces.py
+++ b/test/test_traces.py
@@ -1,4 +1,4 @@
-"""Replay of the recorded traces, good ones and deliberately broken ones."""
+"""Tests of trace checks with valid traces and traces that violate a guarantee."""
 
 import io
 import pathlib
@@ -9,20 +9,20 @@
 
 TRACES = pathlib.Path(__file__).parent / "traces"
 
-# For each broken trace, the first record that breaks a promise, and which.
+# First violation in each broken trace: its line and a part of the message.
 BROKEN = {
     "cut-off": ("line 25", "stops with attempts in flight"),
-    "divided": ("line 24", "holds a different version"),
-    "importance": ("line 6", "is shed though"),
-    "malformed": ("line 3", "is not a record"),
+    "divided": ("line 24", "has different content for version"),
+    "importance": ("line 6", "is shed although"),
+    "malformed": ("line 3", "is not a valid record"),
     "not-the-holder": ("line 14", "without holding key"),
-    "part-of-an-answer": ("line 27", "a part of its answer"),
+    "part-of-an-answer": ("line 27", "gets an incomplete answer"),
     "payout-twice": ("line 12", "without holding key"),
-    "retry-bound": ("line 17", "causes retry 2, its bound is 1"),
-    "reverted": ("line 24", "goes back from version 5 to 4"),
-    "swapped-answer": ("line 27", "the answer to another"),
+    "retry-bound": ("line 17", "causes retry 2, its budget is 1"),
+    "reverted": ("line 24", "reverts from version 5 to 4"),
+    "run-after-not-run": ("line 10", 'after it was reported as "not run"'),
+    "swapped-answer": ("line 27", "the answer to another request"),
     "unclaimed-run": ("line 14", "before its claim was read"),
-    "word": ("line 10", 'after "not run" was said'),
     "work-while-leaving": ("line 12", "is leaving and admits"),
 }
 
@@ -62,11 +62,11 @@
         self.assertIn(
             "is of version 2", self.check('{"format":"whinwinch-trace","version":2}')[0]
         )
-        for head in ("", "7", "{}", "\x00"):
-            self.assertIn("not the head", self.check(head)[0])
+        for header in ("", "7", "{}", "\x00"):
+            self.assertIn("not the header", self.check(header)[0])
 
-    def test_an_empty_trace_proves_nothing(self):
-        self.assertIn("no record", self.check(tracerecords.encode_head())[0])
+    def test_a_trace_without_records_is_a_finding(self):
+        self.assertIn("no record", self.check(tracerecords.encode_header())[0])
 
     def test_wrong_types_and_kinds_are_findings(self):
         lines = [
@@ -77,17 +77,17 @@
             "[" * 100_000,
             "{",
         ]
-        problems = self.check(tracerecords.encode_head(), *lines)
+        problems = self.check(tracerecords.encode_header(), *lines)
         self.assertEqual(len(problems), len(lines))
 
-    def test_a_recorder_writes_what_is_read_back(self):
+    def test_recorded_entries_decode_to_themselves(self):
         stream = io.StringIO()
         record = tracerecords.make_recorder(stream)
         entries = [Run("g", "a", "k"), Fault("", "the log is down")]
         for entry in entries:
             record(entry)
-        head, *lines = stream.getvalue().splitlines()
-        self.assertEqual(head, tracerecords.encode_head())
+        header, *lines = stream.getvalue().splitlines()
+        self.assertEqual(header, tracerecords.encode_header())
         self.assertEqual([tracerecords.decode_record(line) for line in lines], entries)
 
 
--- a/whinwinch/recording.py
+++ b/whinwinch/recording.py
@@ -1,4 +1,7 @@
-"""What a daemon writes into a trace, see `traces`; nothing unless told to."""
+"""Hooks by which a daemon writes its trace; without tracing they do nothing.
+
+The records are defined in `tracerecords` and checked by `traces`.
+"""
 
 import hashlib
 from collections.abc import Callable
@@ -8,22 +11,25 @@
 from .lifecycle import Phase
 from .messages import Outcome, rank_request
 
-DIGEST_LENGTH = 16
+DIGEST_HEX_DIGITS = 16
 
 
 class Notes(NamedTuple):
-    """Functions that note one kind of event each.
+    """Trace hooks, one function for each kind of event.
 
     Attributes:
-        root_request: Takes a root `Request`.
-        attempt: Takes a `Request` and whether it is a retry.
-        admission: Takes a `Request` and whether it was admitted.
-        run: Takes a `Request` and the backend server's `Answer`, if any.
-        answered: Takes a gatekeeper's `Answer`.
-        delivered: Takes a root's identifier and the `Answer` for its caller.
-        claims: Takes the offset and data of a record of the stream of claims.
-        phase: Takes the new `lifecycle.Phase`.
-        configured: Takes version and content of the configuration in force.
+        root_request: Called with a root `Request` when it arrives.
+        attempt: Called with the `Request` of an attempt and whether it is a retry.
+        admission: Called with a `Request` and whether it was admitted.
+        run: Called with a `Request` and the `Answer` that resulted from sending it
+            to the backend server; its outcome is NOT_RUN if nothing was sent.
+        answered: Called with the `Answer` of a gatekeeper.
+        delivered: Called with the identifier of a root request, the `Answer` for
+            its caller and the attempt that the answer comes from.
+        claims: Called with the offset and data of a record of the claim stream.
+        phase: Called with the new `lifecycle.Phase`.
+        configured: Called with the version and the encoded content of the
+            configuration in force.
     """
 
     root_request: Callable
@@ -37,30 +43,30 @@
     configured: Callable
 
 
-def ignore(*event):
-    """Note nothing."""
+def _discard_event(*event):
+    """Discard an event, because tracing is off."""
     del event
 
 
-NOTHING = Notes(*[ignore] * len(Notes._fields))
+NOTHING = Notes(*[_discard_event] * len(Notes._fields))
 
 
 def build_notes(daemon, record):
-    """Return `Notes` that write records.
+    """Return `Notes` that write trace records.
 
     Args:
         daemon: Identifier of this daemon.
-        record: Takes a record, see `tracerecords.make_recorder`.
+        record: Function that writes a record, see `tracerecords.make_recorder`.
     """
 
-    def note_root_request(request):
+    def record_root_request(request):
         record(
             tracerecords.RootRequest(
                 daemon, request.root, request.budget, request.caller
             )
         )
 
-    def note_attempt(request, retry):
+    def record_attempt(request, retry):
         record(
             tracerecords.Attempt(
                 daemon,
@@ -72,81 +78,85 @@
             )
         )
 
-    def note_admission(request, admitted):
+    def record_admission(request, admitted):
         record(
             tracerecords.Admission(
                 daemon, request.attempt, admitted, rank_request(request)
             )
         )
 
-    def note_run(request, answer):
-        # Written after the fact: whether anything was sent at all is known
-        # only then, and an attempt that never left was not run.
+    def record_run(request, answer):
+        # Written after the answer: only then is it known whether the attempt was
+        # sent. An attempt that was never sent did not run.
         if answer.outcome is Outcome.NOT_RUN:
             return
         record(tracerecords.Run(daemon, request.attempt, request.key))
         if answer.outcome is Outcome.COMPLETED:
             record(
                 tracerecords.BackendAnswer(
-                    daemon, answer.attempt, answer.status, *_measure(answer.body)
+                    daemon, answer.attempt, answer.status, *_summarize_body(answer.body)
                 )
             )
 
-    def note_answered(answer):
+    def record_answered(answer):
         record(
             tracerecords.Answered(
                 daemon,
                 answer.attempt,
                 answer.outcome.value,
                 answer.reason.value,
-                *_measure(answer.body),
+                *_summarize_body(answer.body),
             )
         )
 
-    def note_delivered(root, answer, source):
+    def record_delivered(root, answer, source):
         record(
             tracerecords.Delivered(
-                daemon, root, answer.outcome.value, source, *_measure(answer.body)
+                daemon,
+                root,
+                answer.outcome.value,
+                source,
+                *_summarize_body(answer.body),
             )
         )
 
-    def note_claims(offset, data):
+    def record_claims(offset, data):
         for place, entry in enumerate(claims.decode_batch(data).entries):
-            kind = CLAIM_RECORDS.get(type(entry))
+            kind = CLAIM_RECORD_TYPES.get(type(entry))
             if kind is not None:
                 record(kind(daemon, *entry, offset, place))
 
-    def note_phase(phase):
-        kind = PHASE_RECORDS.get(phase)
+    def record_phase(phase):
+        kind = PHASE_RECORD_TYPES.get(phase)
         if kind is not None:
             record(kind(daemon))
 
-    def note_configured(version, content):
-        record(tracerecords.Configured(daemon, version, _measure(content)[1]))
+    def record_configured(version, content):
+        record(tracerecords.Configured(daemon, version, _summarize_body(content)[1]))
 
     return Notes(
-        note_root_request,
-        note_attempt,
-        note_admission,
-        note_run,
-        note_answered,
-        note_delivered,
-        note_claims,
-        note_phase,
-        note_configured,
+        record_root_request,
+        record_attempt,
+        record_admission,
+        record_run,
+        record_answered,
+        record_delivered,
+        record_claims,
+        record_phase,
+        record_configured,
     )
 
 
-CLAIM_RECORDS = {
+CLAIM_RECORD_TYPES = {
     claims.Claim: tracerecords.ClaimRead,
     claims.Release: tracerecords.ReleaseRead,
 }
-PHASE_RECORDS = {
+PHASE_RECORD_TYPES = {
     Phase.LEAVING: tracerecords.Leaving,
     Phase.STOPPED: tracerecords.Stopped,
 }
 
 
-def _measure(body):
-    """Return length and digest of a body, to tell one answer from another."""
-    return len(body), hashlib.sha256(body).hexdigest()[:DIGEST_LENGTH]
+def _summarize_body(body):
+    """Return the length and digest of a body, by which answers are compared."""
+    return len(body), hashlib.sha256(body).hexdigest()[:DIGEST_HEX_DIGITS]
--- a/whinwinch/tracerecords.py
+++ b/whinwinch/tracerecords.py
@@ -1,8 +1,9 @@
-"""Records of traces, to and from their lines.
+"""Record types of traces, and their encoding as lines of JSON.
 
-A trace is a file of JSON lines: a head with the version of the format, then one
-record a line, each with its type. Daemons write them; records of several
-daemons are merged by time, so that an answer stands after what it answers.
+A trace is a file in JSON Lines format: a header line with the version of the
+format, then one record per line, each with its kind. Each daemon writes its own
+trace. Traces of several daemons are merged by time, so that an answer follows
+the request that it belongs to.
 """
 
 import json
@@ -15,12 +16,12 @@
 
 
 class RootRequest(NamedTuple):
-    """An outside caller's request reached its entry.
+    """A request of an outside caller arrived at its entry daemon.
 
     Attributes:
-        daemon: The entry.
+        daemon: The entry daemon.
         root: Identifier of the root request.
-        budget: Retries that the whole tree may cause.
+        budget: Maximum number of retries in the whole call tree.
         caller: Name of the caller.
     """
 
@@ -31,14 +32,14 @@
 
 
 class Attempt(NamedTuple):
-    """A daemon made an attempt of a call.
+    """A daemon sent an attempt of a call.
 
     Attributes:
-        daemon: The daemon that made it.
+        daemon: The daemon that sent the attempt.
         root: Identifier of the root request.
-        attempt: The attempt.
-        service: Service called.
-        retry: Whether it repeats an attempt that was refused or lost.
+        attempt: Identifier of the attempt.
+        service: Name of the service called.
+        retry: Whether the attempt repeats one that was refused or lost.
         key: Idempotency key, or "".
     """
 
@@ -51,14 +52,14 @@
 
 
 class Admission(NamedTuple):
-    """A gatekeeper decided on an attempt by its admission level.
+    """A gatekeeper admitted or shed an attempt by its admission level.
 
     Attributes:
-        daemon: The gatekeeper.
-        attempt: The attempt.
-        admitted: Whether it was let in.
-        rank: Rank of the request, importance first.
-        level: Admission level at that moment.
+        daemon: The gatekeeper's daemon.
+        attempt: Identifier of the attempt.
+        admitted: Whether the attempt was admitted.
+        rank: Rank of the request, determined by its importance first.
+        level: Admission level at that time.
     """
 
     daemon: str
@@ -69,15 +70,15 @@
 
 
 class ClaimRead(NamedTuple):
-    """A claim was read from the log.
+    """A daemon read a claim from the log.
 
     Attributes:
-        daemon: The reader.
+        daemon: The daemon that read the claim.
         key: Idempotency key.
-        attempt: The attempt.
-        incarnation: Incarnation that claimed.
-        offset: Offset of the record.
-        place: Place within the record.
+        attempt: Identifier of the attempt that claims the key.
+        incarnation: Incarnation that appended the claim.
+        offset: Offset of the log record.
+        place: Index of the claim within the log record.
     """
 
     daemon: str
@@ -89,7 +90,16 @@
 
 
 class ReleaseRead(NamedTuple):
-    """A release was read from the log; the attributes are those of a claim."""
+    """A daemon read a release from the log.
+
+    Attributes:
+        daemon: The daemon that read the release.
+        key: Idempotency key.
+        attempt: Identifier of the attempt that releases the key.
+        incarnation: Incarnation that appended the release.
+        offset: Offset of the log record.
+        place: Index of the release within the log record.
+    """
 
     daemon: str
     key: str
@@ -103,8 +113,8 @@
     """An attempt was sent to a backend server.
 
     Attributes:
-        daemon: The gatekeeper, also the incarnation that claims.
-        attempt: The attempt.
+        daemon: The gatekeeper's daemon, which is also the incarnation that claims.
+        attempt: Identifier of the attempt.
         key: Idempotency key, or "".
     """
 
@@ -114,13 +124,13 @@
 
 
 class BackendAnswer(NamedTuple):
-    """A backend server answered.
+    """A backend server answered an attempt.
 
     Attributes:
-        daemon: The gatekeeper.
-        attempt: The attempt.
+        daemon: The gatekeeper's daemon.
+        attempt: Identifier of the attempt.
         status: HTTP status.
-        length: Bytes of the body.
+        length: Length of the body in bytes.
         digest: Digest of the body.
     """
 
@@ -132,14 +142,14 @@
 
 
 class Answered(NamedTuple):
-    """A daemon answered an attempt, towards whoever made it.
+    """A daemon sent the answer to an attempt back to the sender of the attempt.
 
     Attributes:
         daemon: The daemon that answers.
-        attempt: The attempt.
-        outcome: Value of its `messages.Outcome`.
-        reason: Value of its `messages.Reason`.
-        length: Bytes of the body.
+        attempt: Identifier of the attempt.
+        outcome: Value of the answer's `messages.Outcome`.
+        reason: Value of the answer's `messages.Reason`.
+        length: Length of the body in bytes.
         digest: Digest of the body.
     """
 
@@ -152,14 +162,15 @@
 
 
 class Delivered(NamedTuple):
-    """The outside caller got its answer.
+    """An outside caller received the answer to its request.
 
     Attributes:
-        daemon: The entry.
+        daemon: The entry daemon.
         root: Identifier of the root request.
-        outcome: Value of its `messages.Outcome`.
-        source: Attempt whose answer it is, or "" where the entry made it.
-        length: Bytes of the body.
+        outcome: Value of the answer's `messages.Outcome`.
+        source: Attempt that the answer comes from, or "" if the entry daemon
+            generated it.
+        length: Length of the body in bytes.
         digest: Digest of the body.
     """
 
@@ -172,13 +183,21 @@
 
 
 class Leaving(NamedTuple):
-    """A gatekeeper began to refuse new work."""
+    """A gatekeeper started to refuse new work.
+
+    Attributes:
+        daemon: The gatekeeper's daemon.
+    """
 
     daemon: str
 
 
 class Stopped(NamedTuple):
-    """A daemon stopped as planned."""
+    """A daemon stopped as planned.
+
+    Attributes:
+        daemon: The daemon.
+    """
 
     daemon: str
 
@@ -187,7 +206,7 @@
     """A daemon put a configuration in force.
 
     Attributes:
-        daemon: The daemon, new at every start.
+        daemon: Identifier of the daemon, new at every start.
         version: Version of the configuration.
         digest: Digest of all resources.
     """
@@ -198,11 +217,11 @@
 
 
 class Fault(NamedTuple):
-    """Something went wrong or was made to; it explains, and is not judged.
+    """A fault that occurred or was injected; it is for information, not checked.
 
     Attributes:
-        daemon: Where, or "" for the platform.
-        text: What.
+        daemon: The daemon concerned, or "" for the platform.
+        text: Description of the fault.
     """
 
     daemon: str
@@ -227,30 +246,30 @@
 KIND_NAMES = {kind: name for name, kind in KINDS.items()}
 
 
-def encode_head():
-    """Return the first line of a trace, without its line end."""
+def encode_header():
+    """Return the header line of a trace without the line break."""
     return json.dumps({"format": FORMAT, "version": VERSION})
 
 
 def encode_record(record, at=0.0):
-    """Return one record as a line, without its line end.
+    """Encode a record as a line without the line break.
 
     Args:
         record: The record.
-        at: Wall-clock seconds, by which the traces of several daemons are
-            merged.
+        at: Time of the record in wall-clock seconds, by which traces of several
+            daemons are merged; 0 to leave it out.
     """
-    head = {"kind": KIND_NAMES[type(record)]}
+    header = {"kind": KIND_NAMES[type(record)]}
     if at:
-        head["at"] = at
-    return json.dumps({**head, **record._asdict()})
+        header["at"] = at
+    return json.dumps({**header, **record._asdict()})
 
 
 def decode_record(line):
-    """Return the record of one line.
+    """Decode one line into a record.
 
     Raises:
-        ValueError: When the line isn't a record; the message says why.
+        ValueError: If the line isn't a valid record; the message is the reason.
     """
     try:
         fields = json.loads(line)
@@ -261,7 +280,7 @@
     kind = KINDS.get(str(fields.pop("kind", "")))
     fields.pop("at", None)
     if kind is None:
-        raise ValueError("no known kind")
+        raise ValueError("unknown kind")
     try:
         record = kind(**fields)
     except TypeError as error:
@@ -271,44 +290,44 @@
 
 
 def check_types(record):
-    """Check that each field of a record has the type that it declares.
+    """Check that each field of a record has its declared type.
 
     Raises:
-        ValueError: When one hasn't.
+        ValueError: If a field has another type.
     """
-    for name, wanted in type(record).__annotations__.items():
+    for name, declared in type(record).__annotations__.items():
         value = getattr(record, name)
-        if wanted is float and type(value) is int:
+        if declared is float and type(value) is int:
             continue
-        if type(value) is not wanted:
-            raise ValueError(f"{name} is not of type {wanted.__name__}")
+        if type(value) is not declared:
+            raise ValueError(f"{name} is not of type {declared.__name__}")
 
 
 def merge_traces(traces):
-    """Return the lines of one trace from those of several daemons, by time.
+    """Merge the traces of several daemons by time into the lines of one trace.
 
-    Their instances' clocks have to agree better than a call takes; where they
-    don't, an answer may stand before what it answers and be found wrong.
+    The clocks of the instances must differ by less than the duration of a call.
+    Otherwise an answer may precede its request and be reported as a violation.
 
     Args:
-        traces: Iterable of traces, each the lines of one daemon in their order.
+        traces: Iterable of traces, each the lines of one daemon in order.
     """
     lines = []
     for trace in traces:
         last = 0.0
         for line in trace:
-            at = find_time(line)
+            at = get_line_time(line)
             if at is None:
                 continue
-            # A daemon's own order holds, also where its clock is set back.
+            # Keep the order of each daemon's records even if its clock is set back.
             last = max(last, at)
             lines.append((last, line))
     lines.sort(key=operator.itemgetter(0))
-    return (encode_head(), *(line for _, line in lines))
+    return (encode_header(), *(line for _, line in lines))
 
 
-def find_time(line):
-    """Return the time of a record's line, or None for another line."""
+def get_line_time(line):
+    """Return the time of a record's line in seconds, or None if it has none."""
     try:
         fields = json.loads(line)
         return float(fields["at"]) if "kind" in fields else None
@@ -317,14 +336,15 @@
 
 
 def make_recorder(stream, clock=None):
-    """Return a function that writes records to a text stream, one a line.
+    """Return a function that writes records to a text stream, one per line.
 
-    Several threads may call it: a lock keeps lines whole and in the order in
-    which a daemon did things, on which the replay relies.
+    Several threads may call the function. A lock keeps lines intact and in the
+    order of the daemon's actions, on which the replay relies.
 
     Args:
-        stream: Text stream; the head is written at once.
-        clock: Returns the wall-clock time in seconds; None writes no times.
+        stream: Text stream; the header is written immediately.
+        clock: Returns the wall-clock time in seconds; if None, no times are
+            written.
     """
     lock = threading.Lock()
 
@@ -334,5 +354,5 @@
             stream.write(line + "\n")
             stream.flush()
 
-    stream.write(encode_head() + "\n")
+    stream.write(encode_header() + "\n")
     return record
--- a/whinwinch/traces.py
+++ b/whinwinch/traces.py
@@ -1,7 +1,6 @@
-"""Replay of recorded traces against the stated outcomes.
+"""Checks recorded traces against the guarantees of the mesh.
 
-`check_trace` names every record by which a promise is broken, the first one
-first.
+`check_trace` reports every record that violates a guarantee, in trace order.
 """
 
 import json
@@ -26,7 +25,7 @@
     Run,
     Stopped,
     decode_record,
-    encode_head,
+    encode_header,
     merge_traces,
 )
 
@@ -38,8 +37,9 @@
     """Result of a replay, for the command line.
 
     Attributes:
-        code: Exit code: 0 when every promise held.
-        text: What to print.
+        code: Exit code: 0 (`PASSED`) if no guarantee was violated, otherwise 1
+            (`BROKEN`).
+        text: Report to print.
     """
 
     code: int
@@ -47,29 +47,32 @@
 
 
 class History:
-    """What the records read so far say.
+    """State accumulated from the records checked so far.
 
     Attributes:
-        budgets: Budget of each root request.
-        makers: The `Attempt` record of each attempt.
-        retries: Retries seen for each root request.
-        runs: Attempts that ran, with the line.
-        key_runs: The run of each key, with the line.
-        claims: Claims and releases of each key, by place in the log.
-        claims_read: Claims that each daemon has read, as pairs with the daemon.
-        backend_answers: Length and digest of each backend server's answer.
-        answers: The `Answered` of each attempt.
-        delivered: Root requests whose caller has its answer.
-        open: Attempts inside each gatekeeper.
-        leaving: Daemons that are leaving.
+        budgets: Retry budget by root request.
+        attempts: `Attempt` record by attempt.
+        retries: Number of retries by root request.
+        runs: Line number of the run by attempt.
+        key_runs: Line number of the first run by idempotency key.
+        claims: Claims and releases by key, each as a mapping from offset and
+            place in the log to kind, attempt and incarnation.
+        claims_read: Claims that a daemon has read, as tuples of daemon, key and
+            attempt.
+        backend_answers: Length and digest of the backend server's answer by
+            attempt.
+        answers: First `Answered` record by attempt.
+        delivered: Root requests whose caller has received an answer.
+        open: Set of admitted attempts not yet answered, by gatekeeper.
+        leaving: Daemons that refuse new work because they are about to stop.
         stopped: Daemons that have stopped.
-        versions: Version in force at each daemon.
-        digests: Digest of each version.
+        versions: Configuration version in force by daemon.
+        digests: Digest of the configuration by version.
     """
 
     def __init__(self):
         self.budgets = {}
-        self.makers = {}
+        self.attempts = {}
         self.retries = {}
         self.runs = {}
         self.key_runs = {}
@@ -86,36 +89,41 @@
 
 
 def check_trace(lines):
-    """Check a trace against the stated outcomes.
+    """Check a trace against the guarantees.
 
     Args:
-        lines: Its lines, the head first.
+        lines: Lines of the trace, starting with its header.
 
     Returns:
-        A tuple of `Finding`, one for each record that is malformed or breaks a
-        promise, in the order of the lines.
+        A tuple of `Finding`, one for each malformed record or violated
+        guarantee, in the order of the lines.
     """
     lines = tuple(lines)
     history = History()
-    take_in_claims(history, lines)
+    collect_claims(history, lines)
     findings = []
-    for number, line in enumerate(lines, 1):
-        place = f"line {number}"
-        if number == 1:
-            problems = check_head(line)
+    for line_number, line in enumerate(lines, 1):
+        place = f"line {line_number}"
+        if line_number == 1:
+            problems = check_header(line)
         else:
-            problems = check_line(history, line, number)
+            problems = check_line(history, line, line_number)
         findings.extend(Finding(place, problem) for problem in problems)
-    if not findings and not history.makers and not history.versions:
-        findings.append(Finding("trace", "holds no record that could be judged"))
+    if not findings and not history.attempts and not history.versions:
+        findings.append(Finding("trace", "contains no record that can be checked"))
     return tuple(findings)
 
 
-def take_in_claims(history, lines):
-    """Take in all that any daemon read of the log, before judging.
+def collect_claims(history, lines):
+    """Collect all claims and releases that any daemon read, before the checks.
 
-    The log's order decides, and a daemon that missed an earlier claim will not
-    have recorded it; another daemon's record shows it, perhaps further down.
+    The log's order decides which claim wins. A daemon that missed an earlier
+    claim has not recorded it, but a record of another daemon may contain it,
+    possibly on a later line.
+
+    Args:
+        history: The `History` whose `claims` are filled.
+        lines: Lines of the trace, starting with its header.
     """
     for line in lines[1:]:
         try:
@@ -128,54 +136,60 @@
             history.claims.setdefault(record.key, {}).setdefault(place, entry)
 
 
-def check_head(line):
-    """Return what is wrong with the first line."""
+def check_header(line):
+    """Return the problems of the first line, the header, as a list of texts."""
     try:
-        head = json.loads(line)
+        header = json.loads(line)
     except ValueError:
-        head = None
-    if not isinstance(head, dict) or head.get("format") != FORMAT:
-        return [f"is not the head of a trace: {encode_head()}"]
-    if head.get("version") != VERSION:
-        return [f"is of version {head.get('version')}; this reads {VERSION}"]
+        header = None
+    if not isinstance(header, dict) or header.get("format") != FORMAT:
+        return [f"is not the header of a trace: {encode_header()}"]
+    if header.get("version") != VERSION:
+        return [
+            f"is of version {header.get('version')}; supported is version {VERSION}"
+        ]
     return []
 
 
-def check_line(history, line, number):
-    """Return what is wrong with a record, having taken it in."""
+def check_line(history, line, line_number):
+    """Check one record and add it to the history; return the problems as a list."""
     try:
         record = decode_record(line)
     except ValueError as error:
-        return [f"is not a record: {error}"]
+        return [f"is not a valid record: {error}"]
     check = CHECKS.get(type(record))
-    return list(check(history, record, number)) if check else []
+    return list(check(history, record, line_number)) if check else []
 
 
-def check_root_request(history, record, number):
-    """Take in a root request."""
+def check_root_request(history, record, line_number):
+    """Record the retry budget of a root request; its identifier must be new."""
     if record.root in history.budgets:
         yield f"root request {record.root} is recorded twice"
     history.budgets[record.root] = record.budget
 
 
-def check_attempt(history, record, number):
-    """Check the bound on the retries of a whole request."""
-    history.makers[record.attempt] = record
+def check_attempt(history, record, line_number):
+    """Check that the retries of a root request don't exceed its budget."""
+    history.attempts[record.attempt] = record
     if not record.retry:
         return
     made = history.retries.get(record.root, 0) + 1
     history.retries[record.root] = made
-    bound = history.budgets.get(record.root)
-    if bound is not None and made > bound:
-        yield f"root request {record.root} causes retry {made}, its bound is {bound}"
+    limit = history.budgets.get(record.root)
+    if limit is not None and made > limit:
+        yield f"root request {record.root} causes retry {made}, its budget is {limit}"
 
 
-def check_admission(history, record, number):
-    """Check that a level sheds by rank, and that nobody leaving takes work."""
+def check_admission(history, record, line_number):
+    """Check that shedding follows the level, and that leaving daemons admit nothing.
+
+    An attempt whose rank is below the admission level must be shed. While the
+    level is above 0, an attempt whose rank reaches it must not be shed.
+    """
     if record.admitted and record.rank < record.level:
-        yield f"attempt {record.attempt} is admitted below the level"
+        yield f"attempt {record.attempt} is admitted with a rank below the level"
     if not record.admitted and record.rank >= record.level > 0:
-        yield f"attempt {record.attempt} is shed though its rank reaches the level"
+        yield f"attempt {record.attempt} is shed although its rank reaches the level"
     if not record.admitted:
         return
     if record.daemon in history.leaving:
@@ -183,30 +197,34 @@
     history.open.setdefault(record.daemon, set()).add(record.attempt)
 
 
-def check_claim(history, record, number):
-    """Check that readers agree on the log, and note who has read what."""
+def check_claim(history, record, line_number):
+    """Check that readers agree on the log, and record the claim as read."""
     entry = ("claim", record.attempt, record.incarnation)
     if history.claims[record.key][(record.offset, record.place)] != entry:
         yield f"two readers disagree on offset {record.offset}"
     history.claims_read.add((record.daemon, record.key, record.attempt))
 
 
-def check_release(history, record, number):
-    """Check that nothing that ran is released."""
+def check_release(history, record, line_number):
+    """Check that an attempt that ran is not released."""
     if record.attempt in history.runs:
         yield f"attempt {record.attempt} ran and is released"
 
 
-def check_run(history, record, number):
-    """Check at-most-once, claims and the word "not run"."""
+def check_run(history, record, line_number):
+    """Check a run against at-most-once, claims and reported outcomes.
+
+    A key must not run twice, the attempt must hold its key when it runs, and it
+    must not run after it was reported as "not run".
+    """
     answer = history.answers.get(record.attempt)
     if answer and answer.outcome == Outcome.NOT_RUN.value:
-        yield f'attempt {record.attempt} runs after "not run" was said of it'
-    history.runs[record.attempt] = number
+        yield f'attempt {record.attempt} runs after it was reported as "not run"'
+    history.runs[record.attempt] = line_number
     if not record.key:
         return
-    earlier = history.key_runs.setdefault(record.key, number)
-    if earlier != number:
+    earlier = history.key_runs.setdefault(record.key, line_number)
+    if earlier != line_number:
         yield f"key {record.key} runs a second time, first at line {earlier}"
     if (record.daemon, record.key, record.attempt) not in history.claims_read:
         yield f"attempt {record.attempt} runs before its claim was read"
@@ -215,7 +233,7 @@
 
 
 def find_holder(history, key):
-    """Return attempt and incarnation of the claim that holds a key, or None."""
+    """Return the attempt and incarnation that hold a key, or None if it is free."""
     holder = None
     decided = set()
     claims = history.claims.get(key, {})
@@ -231,71 +249,79 @@
     return holder
 
 
-def check_backend_answer(history, record, number):
-    """Take in what a backend server answered."""
+def check_backend_answer(history, record, line_number):
+    """Check that an answered attempt has run, and record the answer."""
     if record.attempt not in history.runs:
-        yield f"attempt {record.attempt} is answered without having run"
+        yield f"attempt {record.attempt} has a backend answer but did not run"
     history.backend_answers[record.attempt] = (record.length, record.digest)
 
 
-def check_answered(history, record, number):
-    """Check that an answer is whole, its own, and true."""
+def check_answered(history, record, line_number):
+    """Check that an answer is complete, for its own attempt, and correct.
+
+    An attempt reported as "not run" must not have run, and a completed one must
+    have the content of its backend server's answer.
+    """
     history.open.get(record.daemon, set()).discard(record.attempt)
     history.answers.setdefault(record.attempt, record)
     if record.outcome == Outcome.NOT_RUN.value and record.attempt in history.runs:
         line = history.runs[record.attempt]
-        yield f'attempt {record.attempt} is said "not run" but ran at line {line}'
+        yield (
+            f'attempt {record.attempt} is reported as "not run" but ran at line {line}'
+        )
     if record.outcome != Outcome.COMPLETED.value:
         return
     content = history.backend_answers.get(record.attempt)
     if content is None:
         yield f"attempt {record.attempt} is completed without a backend answer"
     elif content != (record.length, record.digest):
-        yield f"attempt {record.attempt} gets an answer that isn't its own or whole"
+        yield f"attempt {record.attempt} gets a wrong or incomplete answer"
 
 
-def check_delivered(history, record, number):
-    """Check that a caller gets the whole answer to its own request, once."""
+def check_delivered(history, record, line_number):
+    """Check that a caller gets one complete answer, to its own request."""
     if record.root in history.delivered:
         yield f"root request {record.root} is answered twice"
     history.delivered.add(record.root)
-    maker = history.makers.get(record.source)
-    wanted = (record.daemon, record.root)
-    if record.source and (maker is None or (maker.daemon, maker.root) != wanted):
-        yield f"root request {record.root} gets the answer to another"
+    attempt = history.attempts.get(record.source)
+    expected = (record.daemon, record.root)
+    if record.source and (
+        attempt is None or (attempt.daemon, attempt.root) != expected
+    ):
+        yield f"root request {record.root} gets the answer to another request"
     answer = history.answers.get(record.source)
     if record.outcome == Outcome.COMPLETED.value:
         if answer is None:
             yield f"root request {record.root} is completed without an answer"
         elif (answer.length, answer.digest) != (record.length, record.digest):
-            yield f"root request {record.root} gets a part of its answer"
+            yield f"root request {record.root} gets an incomplete answer"
     if record.outcome == Outcome.NOT_RUN.value and record.source in history.runs:
-        yield f'root request {record.root} is said "not run" but ran'
+        yield f'root request {record.root} is reported as "not run" but ran'
 
 
-def check_leaving(history, record, number):
-    """Take in that a gatekeeper refuses new work from now on."""
+def check_leaving(history, record, line_number):
+    """Record that a gatekeeper refuses new work from now on."""
     history.leaving.add(record.daemon)
     return ()
 
 
-def check_stopped(history, record, number):
-    """Check that a planned stop cuts nothing off."""
+def check_stopped(history, record, line_number):
+    """Check that no attempt is in flight when a daemon stops as planned."""
     history.stopped.add(record.daemon)
-    left = sorted(history.open.get(record.daemon, ()))
-    if left:
-        yield f"{record.daemon} stops with attempts in flight: {', '.join(left)}"
+    unfinished = sorted(history.open.get(record.daemon, ()))
+    if unfinished:
+        yield f"{record.daemon} stops with attempts in flight: {', '.join(unfinished)}"
 
 
-def check_configured(history, record, number):
-    """Check that configuration never reverts and is the same everywhere."""
+def check_configured(history, record, line_number):
+    """Check that versions never go back and are the same at all daemons."""
     present = history.versions.get(record.daemon, 0)
     if record.version < present:
-        yield f"{record.daemon} goes back from version {present} to {record.version}"
+        yield f"{record.daemon} reverts from version {present} to {record.version}"
     history.versions[record.daemon] = record.version
     digest = history.digests.setdefault(record.version, record.digest)
     if digest != record.digest:
-        yield f"{record.daemon} holds a different version {record.version}"
+        yield f"{record.daemon} has different content for version {record.version}"
 
 
 CHECKS = {
@@ -315,52 +341,52 @@
 
 
 def replay_files(paths):
-    """Check the traces of several daemons of one mesh as one.
+    """Merge the trace files of several daemons of one mesh and check the result.
 
     Args:
-        paths: Paths of the traces.
+        paths: Paths of the trace files.
 
     Returns:
-        A `Replay`.
+        The result as a `Replay`.
 
     Raises:
-        OSError: When a file can't be read.
+        OSError: If a file can't be read.
     """
     traces = []
     for path in paths:
         with open(path, encoding="utf-8", errors="replace") as lines:
             traces.append(tuple(lines))
     findings = check_trace(merge_traces(traces))
-    return form_replay(", ".join(paths), findings)
+    return build_replay(", ".join(paths), findings)
 
 
 def replay_file(path):
     """Check a trace file.
 
     Args:
-        path: Path of the trace.
+        path: Path of the trace file.
 
     Returns:
-        A `Replay`.
+        The result as a `Replay`.
 
     Raises:
-        OSError: When the file can't be read.
+        OSError: If the file can't be read.
     """
     with open(path, encoding="utf-8", errors="replace") as lines:
         findings = check_trace(lines)
-    return form_replay(path, findings)
+    return build_replay(path, findings)
 
 
-def form_replay(name, findings):
-    """Return the `Replay` that reports findings.
+def build_replay(name, findings):
+    """Return a `Replay` with the exit code and report for findings.
 
     Args:
-        name: Name of the trace.
-        findings: Tuple of `Finding`.
+        name: Name of the trace, for the report.
+        findings: Tuple of `Finding`, empty if no guarantee was violated.
     """
     if not findings:
-        return Replay(PASSED, f"{name}: every stated outcome held")
+        return Replay(PASSED, f"{name}: no guarantee was violated")
     first, *others = findings
     report = [f"{name}: {first.place}: {first.problem}"]
-    report.extend(f"  then {each.place}: {each.problem}" for each in others)
+    report.extend(f"  then {other.place}: {other.problem}" for other in others)
     return Replay(BROKEN, "\n".join(report))
