--- a/whinwinch/claims.py
+++ b/whinwinch/claims.py
@@ -370,7 +370,7 @@
         self._complete_since = float("-inf")
         self._newest_evicted = float("-inf")
         self._skips = 0
-        self._skipped = False
+        self._after_skip = False
 
     def __len__(self):
         return len(self._keys)
@@ -408,7 +408,7 @@
         self._newest_evicted = float("-inf")
         self._complete_since = float("inf")
         self._skips += 1
-        self._skipped = True
+        self._after_skip = True
 
     def confirm_retention(self, time, skips):
         """Limit the age of the skipped records by the log's guaranteed retention.
@@ -443,9 +443,9 @@
         self._next_offset = offset + 1
         # If the log's clock is set back, expired keys must not become valid again.
         self._time = max(self._time, time)
-        if self._skipped:
+        if self._after_skip:
             self._complete_since = self._time
-            self._skipped = False
+            self._after_skip = False
         self._drop_expired_keys()
         for entry in decode_batch(data).entries:
             self._apply_entry(entry, offset)
