--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -214,7 +214,7 @@
 
     def __init__(self, mesh, name, zone):
         self.mesh = mesh
-        self.levels = levels.Levels()
+        self.levels = levels.LearnedLevels()
         self.ledger = retries.Ledger()
         self.placement = placement.Placement(zone, random.Random(name))
         self._random = random.Random(f"back-off {name}").random
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -135,7 +135,7 @@
     def choose():
         for _ in range(CHOICES):
             preferred = preferences.list_preferred("s0")
-            usable = subsets.choose_usable(preferred, lambda _: subsets.Reach.UP)
+            usable = subsets.choose_usable(preferred, lambda _: subsets.Reachability.UP)
             chooser.choose(request, usable.endpoints, 1.0)
 
     return time_best(choose) / CHOICES * 1e6
--- a/test/backends/test_gatekeeper.py
+++ b/test/backends/test_gatekeeper.py
@@ -62,7 +62,7 @@
         self.takes_work = True
         self.running = running.Running()
         self.ledger = retries.Ledger()
-        self.levels = levels.Levels()
+        self.levels = levels.LearnedLevels()
         self.client = FakeClient(complete)
         patch = unittest.mock.patch.object(
             gatekeeper, "BackendClient", lambda *arguments: self.client
--- a/test/daemons/test_links.py
+++ b/test/daemons/test_links.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from whinwinch import board, events
+from whinwinch import events, reportedlevels
 from whinwinch.daemons import exchange, frames, links
 from whinwinch.logservice import keyed
 from whinwinch.messages import (
@@ -22,7 +22,7 @@
     Request,
     build_failure,
 )
-from whinwinch.subsets import Reach
+from whinwinch.subsets import Reachability
 
 
 def build_request(number, seconds=5.0):
@@ -312,7 +312,7 @@
             await self.wait_until(lambda: self.peer.is_up)
             self.abort_sessions()
             await self.wait_until(lambda: not self.peer.is_up)
-            self.assertNotEqual(self.peer.reach, Reach.PAUSING)
+            self.assertNotEqual(self.peer.reach, Reachability.BACKING_OFF)
 
     async def test_gossip_is_answered(self):
         answers = await asyncio.gather(self.peer.ask(b"abc"), self.peer.ask(b"12"))
@@ -358,7 +358,7 @@
     async def test_news_and_levels(self):
         await self.peer.call(build_request(1))
         self.called.tell(frames.News(Endpoint("x", "x", "s", leaving=True)))
-        cuts = (board.RouteCut("c", (1000, 500, 0, 0)),)
+        cuts = (reportedlevels.RouteShedding("c", (1000, 500, 0, 0)),)
         self.called.tell_all(frames.LevelSum(True, cuts))
         await self.wait_until(lambda: len(self.told) == 3)
         leaving = [news.endpoint.leaving for _, news in self.told[:2]]
--- a/test/emulator/test_mesh.py
+++ b/test/emulator/test_mesh.py
@@ -6,7 +6,7 @@
 import unittest
 
 from emulator import backend, caller, mesh, press
-from whinwinch import events, loadlines
+from whinwinch import events, loadlog
 from whinwinch.http1 import client
 from whinwinch.http1.messages import HttpRequest, format_request
 
@@ -272,7 +272,7 @@
         self.addCleanup(events.install, events.LogHolder.log)
         events.install(events.Log(writing))
         await self.ask(STATUS, 6)
-        await asyncio.sleep(2 * loadlines.LINE_SECONDS)
+        await asyncio.sleep(2 * loadlog.LOG_INTERVAL_SECONDS)
         lines = map(json.loads, os.read(reading, 1 << 16).splitlines())
         loads = [line for line in lines if line["event"] == "load"]
         self.assertIn("deep", {load["service"] for load in loads})
--- a/test/emulator/test_size.py
+++ b/test/emulator/test_size.py
@@ -77,7 +77,7 @@
                 instance = member.node.instance
                 now = asyncio.get_running_loop().time()
                 endpoints = instance.directory.find_endpoints("front")
-                level = instance._board.level("browse", endpoints, now)
+                level = instance._reported_levels.level("browse", endpoints, now)
                 self.assertAlmostEqual(level, 1.5, delta=0.05)
 
         asyncio.run(self.play(SIZE, check))
@@ -99,7 +99,7 @@
                 for member in built.members:
                     instance = member.node.instance
                     endpoints = instance.directory.find_endpoints("front")
-                    level = instance._board.level("browse", endpoints, now)
+                    level = instance._reported_levels.level("browse", endpoints, now)
                     self.assertAlmostEqual(level, 1.5, delta=0.05)
 
         asyncio.run(self.play(6, check, ("a",)))
--- a/test/platform/test_configuration.py
+++ b/test/platform/test_configuration.py
@@ -47,7 +47,10 @@
         self.assertEqual(one.importance, Importance.CRITICAL)
         self.assertTrue(two.repeatable)
         self.assertEqual(two.importance, Importance.LOW)
-        self.assertEqual(two.parts, (routes.Part("s1", 90), routes.Part("s2", 10)))
+        self.assertEqual(
+            two.weighted_services,
+            (routes.WeightedService("s1", 90), routes.WeightedService("s2", 10)),
+        )
         self.assertEqual(read.limits.idle_seconds, 12.0)
 
     def test_places_of_all_that_cannot_be_read(self):
--- a/test/platform/test_dialect.py
+++ b/test/platform/test_dialect.py
@@ -5,9 +5,9 @@
 from whinwinch.http1.messages import HttpRequest, HttpResponse, find_header
 from whinwinch.messages import Answer, Outcome, Reason, build_failure
 from whinwinch.platform import dialect
-from whinwinch.routes import Part, Route
+from whinwinch.routes import Route, WeightedService
 
-SAFE = Route("r", "h", "/a/", (Part("s", 1),), repeatable=True)
+SAFE = Route("r", "h", "/a/", (WeightedService("s", 1),), repeatable=True)
 UNSAFE = SAFE._replace(repeatable=False)
 ASKED = HttpRequest(
     "POST",
--- a/test/test_callgraph.py
+++ b/test/test_callgraph.py
@@ -9,7 +9,7 @@
 
 
 def run(route, deadline, importance=1, root=""):
-    return callgraph.Running(route, root or route, importance, deadline)
+    return callgraph.RunningRequest(route, root or route, importance, deadline)
 
 
 class EntryTest(unittest.TestCase):
@@ -46,7 +46,7 @@
 
     def test_entry_route_does_not_make_the_backend_connection_a_callers(self):
         """The local backend server calls a route that callers also use."""
-        self.graph.learn(callgraph.Facts(("status",)))
+        self.graph.merge_topology(callgraph.Topology(("status",)))
         self.graph.start("a", run("index", 2.0), 0.0)
         for _ in range(9):
             self.graph.observe("status", BACKEND, 0.6, 0.0)
@@ -68,11 +68,11 @@
         would admit all of them, and they would fail.
         """
         edge = callgraph.Edge("browse", "index")
-        self.graph.learn(callgraph.Facts(("browse",), (edge,)))
+        self.graph.merge_topology(callgraph.Topology(("browse",), (edge,)))
         self.assertTrue(self.graph.is_entry("browse"))
         self.assertEqual(self.graph.find_children("browse"), {"index"})
-        facts = callgraph.Facts(("browse",), (edge,))
-        self.assertEqual(self.graph.list_facts(), facts)
+        topology = callgraph.Topology(("browse",), (edge,))
+        self.assertEqual(self.graph.export_topology(), topology)
 
     def test_wrongly_reported_call_is_outweighed(self):
         """Another daemon reports a call because deadlines matched by chance.
@@ -80,23 +80,27 @@
         If the report counted for ever, requests would be refused for the load of a
         service that they never reach.
         """
-        self.graph.learn(callgraph.Facts((), (callgraph.Edge("browse", "index"),)))
+        self.graph.merge_topology(
+            callgraph.Topology((), (callgraph.Edge("browse", "index"),))
+        )
         for number in range(100):
             self.graph.start("p", run("pay", 5.0 + number), 0.0)
             self.graph.begin_call("index", BACKEND, 5.0 + number, 0.0)
             self.graph.end("p")
-        self.graph.learn(callgraph.Facts((), (callgraph.Edge("browse", "index"),)))
+        self.graph.merge_topology(
+            callgraph.Topology((), (callgraph.Edge("browse", "index"),))
+        )
         self.assertEqual(self.graph.find_children("browse"), frozenset())
         self.assertEqual(self.graph.find_children("pay"), {"index"})
 
     def test_few_observations_are_not_reported(self):
         for number in range(callgraph.MIN_REPORTED_OBSERVATIONS):
-            self.assertEqual(self.graph.list_facts().calls, ())
+            self.assertEqual(self.graph.export_topology().calls, ())
             self.graph.start("p", run("pay", 5.0 + number), 0.0)
             self.graph.begin_call("index", BACKEND, 5.0 + number, 0.0)
             self.graph.end("p")
         edges = (callgraph.Edge("pay", "index"),)
-        self.assertEqual(self.graph.list_facts().calls, edges)
+        self.assertEqual(self.graph.export_topology().calls, edges)
 
     def test_few_observations_among_many_calls_make_no_entry(self):
         self.graph.start("a", run("browse", 5.0), 0.0)
@@ -131,7 +135,7 @@
         The new process doesn't know which requests the backend server received from
         the previous one.
         """
-        self.graph.horizon = 5.0
+        self.graph.unknown_until = 5.0
         for _ in range(9):
             self.assertFalse(self.graph.observe("index", BACKEND, 2.0, 0.0))
         self.assertTrue(self.graph.observe("browse", CALLER, 6.0, 1.0))
@@ -141,7 +145,7 @@
         for _ in range(callgraph.MIN_OBSERVATIONS):
             self.graph.begin_call("status", BACKEND, 1.0, 0.0)
         self.assertEqual(self.graph.find_children("browse"), {"status"})
-        self.graph.learn(callgraph.Facts(("status",)))
+        self.graph.merge_topology(callgraph.Topology(("status",)))
         self.assertEqual(self.graph.find_children("browse"), frozenset())
 
 
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -6,12 +6,12 @@
 import unittest.mock
 
 from whinwinch import (
-    board,
     directory,
     events,
     forwarding,
     messages,
     placement,
+    reportedlevels,
     subsets,
 )
 from whinwinch.messages import Answer, Endpoint, Importance, Outcome, Reason
@@ -23,7 +23,7 @@
     """A peer whose daemon returns scripted answers."""
 
     is_up = True
-    reach = subsets.Reach.UP
+    reach = subsets.Reachability.UP
 
     def __init__(self, answers):
         self.answers = answers
@@ -65,7 +65,7 @@
             address = f"peer:{number}"
             members.record(address, Endpoint(address, address, "s", "z", "", 9))
             self.peers[address] = FakePeer(list(answers))
-        self.board = board.Board()
+        self.reported_levels = reportedlevels.ReportedLevels()
         return forwarding.Forwarder(
             LOCAL_ADDRESS,
             members,
@@ -73,7 +73,7 @@
             self.peers,
             FakeGuard(),
             placement.Placement("z", random.Random(1)),
-            self.board,
+            self.reported_levels,
         )
 
     def request(self, repeatable=True, **changed):
@@ -120,7 +120,7 @@
         """
         forwarder = self.build([])
         now = asyncio.get_running_loop().time()
-        self.board.tell("peer:0", [("c", 2.0)], now)
+        self.reported_levels.record_levels("peer:0", [("c", 2.0)], now)
         answer = await forwarder.serve(self.request(due=now + 1.0), 2)
         self.assertIs(answer.outcome, Outcome.NOT_RUN)
         self.assertGreater(answer.retry_after, 0.4)
@@ -189,7 +189,7 @@
         """
         forwarder = self.build([])
         now = asyncio.get_running_loop().time()
-        self.board.tell("peer:0", (("c", 2.0),), now)
+        self.reported_levels.record_levels("peer:0", (("c", 2.0),), now)
         answer = await forwarder.serve(self.request(), 2)
         self.assertEqual(answer.reason, Reason.LEVEL)
         self.assertGreater(answer.retry_after, 0.0)
@@ -199,6 +199,6 @@
         """A refusal would waste all work already done for its request."""
         forwarder = self.build([])
         now = asyncio.get_running_loop().time()
-        self.board.tell("peer:0", (("c", 4.0),), now)
+        self.reported_levels.record_levels("peer:0", (("c", 4.0),), now)
         answer = await forwarder.serve(self.request(via=("front",)), 2)
         self.assertIs(answer.outcome, Outcome.COMPLETED)
--- a/test/test_levels.py
+++ b/test/test_levels.py
@@ -11,7 +11,7 @@
 
         A level that didn't decay would keep every caller out for ever.
         """
-        learned = levels.Levels()
+        learned = levels.LearnedLevels()
         for step in range(20):
             load = messages.Load(level=0.5, below=1.5)
             learned.learn("catalog", "list", load, step * 0.01)
@@ -20,7 +20,7 @@
         self.assertEqual(learned.level("catalog", "other", 0.2), 0.0)
 
     def test_refuses_only_below_the_level(self):
-        learned = levels.Levels()
+        learned = levels.LearnedLevels()
         learned.learn("catalog", "list", messages.Load(level=2.0), 0.0)
         request = messages.Request(
             "a", "a", "catalog", "list", "GET", "/", messages.Importance.NORMAL, 9.0
@@ -30,7 +30,7 @@
         self.assertIsNone(learned.refuse(important, 0.01))
 
     def test_level_of_a_hot_caller_does_not_apply_to_others(self):
-        learned = levels.Levels()
+        learned = levels.LearnedLevels()
         request = messages.Request(
             "a", "a", "catalog", "", "GET", "/x", messages.Importance.NORMAL, 9.0
         )
@@ -49,7 +49,7 @@
         The level differs slightly at each hop. If the highest of them decided, the
         work of all previous hops would be lost.
         """
-        learned = levels.Levels()
+        learned = levels.LearnedLevels()
         request = messages.Request(
             "a", "a", "catalog", "", "GET", "/", messages.Importance.NORMAL, 9.0
         )
@@ -60,7 +60,7 @@
         self.assertIsNone(learned.refuse_below(forwarded, 0.01))
 
     def test_number_of_tracks_is_bounded(self):
-        learned = levels.Levels()
+        learned = levels.LearnedLevels()
         for index in range(5000):
             request = messages.Request(
                 "a", "a", "s", "", "GET", f"/{index}", messages.Importance.LOW, 9.0
--- a/test/test_loadlines.py
+++ b/test/test_loadlog.py
@@ -6,7 +6,7 @@
 import types
 import unittest
 
-from whinwinch import events, gate, loadlines, messages
+from whinwinch import events, gate, loadlog, messages
 from whinwinch.backends.guard import Backend
 from whinwinch.daemons import frames, traffic
 
@@ -24,11 +24,11 @@
         instance = types.SimpleNamespace(
             guard=self.guard,
             forwarder=self.forwarder,
-            list_route_levels=lambda: iter([loadlines.RouteLevel("browse", 0.0, 1.5)]),
+            list_route_levels=lambda: iter([loadlog.RouteLevel("browse", 0.0, 1.5)]),
             traffic=traffic.Traffic(lambda address: address == "far:1"),
         )
         self.traffic = instance.traffic
-        self.meter = loadlines.Meter(instance, 10.0)
+        self.meter = loadlog.LoadMeter(instance, 10.0)
 
     def test_reports_the_load_since_the_previous_line(self):
         refusal = messages.Refusal("browse", messages.Reason.LEVEL)
@@ -36,7 +36,7 @@
         self.forwarder.refused[refusal] = 7
         first = self.meter.read(12.0)
         self.assertEqual((first.busy, first.ended, first.job_seconds), (2.0, 100, 0.04))
-        refused = (loadlines.RefusalCount("entry", "browse", "admission-level", 7),)
+        refused = (loadlog.RefusalCount("entry", "browse", "admission-level", 7),)
         self.assertEqual(first.refused, refused)
         self.use = gate.Use(150, 8.0)
         second = self.meter.read(13.0)
@@ -70,9 +70,9 @@
         self.addCleanup(os.close, writing)
         self.addCleanup(events.install, events.LogHolder.log)
         events.install(events.Log(writing))
-        loadlines.write_load(self.meter.read(11.0))
+        loadlog.write_load(self.meter.read(11.0))
         self.use = gate.Use(1, 0.5)
-        loadlines.write_load(self.meter.read(12.0))
+        loadlog.write_load(self.meter.read(12.0))
         (line,) = os.read(reading, 1 << 16).splitlines()
         self.assertEqual(json.loads(line)["service"], "deep")
 
--- a/test/test_router.py
+++ b/test/test_router.py
@@ -83,7 +83,7 @@
 class RouterTest(unittest.IsolatedAsyncioTestCase):
     def build(self, *script):
         self.mesh = Mesh(*script)
-        self.levels = levels.Levels()
+        self.levels = levels.LearnedLevels()
         self.ledger = retries.Ledger()
         self.running = running.Running()
         self.notes = []
--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -5,16 +5,16 @@
 
 from whinwinch import routes
 
-ONE_PART = (routes.Part("a", 1),)
+ONE_SERVICE = (routes.WeightedService("a", 1),)
 
 
-def build_route(name, prefix, parts=ONE_PART, host="h"):
-    return routes.Route(name, host, prefix, parts)
+def build_route(name, path_prefix, weighted_services=ONE_SERVICE, host="h"):
+    return routes.Route(name, host, path_prefix, weighted_services)
 
 
 class TableTest(unittest.TestCase):
     def test_finds_the_longest_prefix_of_the_host(self):
-        table = routes.Table(
+        table = routes.RouteTable(
             1,
             [
                 build_route("short", "/a/"),
@@ -31,14 +31,27 @@
 class SharesTest(unittest.TestCase):
     def test_shares_match_the_weights_over_few_requests(self):
         """With a random choice the shares would be off by a tenth over 100 requests."""
-        parts = (routes.Part("a", 90), routes.Part("b", 7), routes.Part("c", 3))
-        route, shares = build_route("r", "/", parts), routes.Shares()
-        chosen = collections.Counter(shares.choose(route) for _ in range(100))
+        weighted_services = (
+            routes.WeightedService("a", 90),
+            routes.WeightedService("b", 7),
+            routes.WeightedService("c", 3),
+        )
+        route, round_robin = (
+            build_route("r", "/", weighted_services),
+            routes.WeightedRoundRobin(),
+        )
+        chosen = collections.Counter(round_robin.choose(route) for _ in range(100))
         self.assertEqual(chosen, {"a": 90, "b": 7, "c": 3})
 
     def test_change_of_another_route_keeps_the_rotation(self):
-        parts = (routes.Part("a", 1), routes.Part("b", 1))
-        route, shares = build_route("r", "/", parts), routes.Shares()
-        first = shares.choose(route)
-        shares.keep(routes.Table(2, [route, build_route("new", "/n/")]))
-        self.assertNotEqual(shares.choose(route), first)
+        weighted_services = (
+            routes.WeightedService("a", 1),
+            routes.WeightedService("b", 1),
+        )
+        route, round_robin = (
+            build_route("r", "/", weighted_services),
+            routes.WeightedRoundRobin(),
+        )
+        first = round_robin.choose(route)
+        round_robin.prune(routes.RouteTable(2, [route, build_route("new", "/n/")]))
+        self.assertNotEqual(round_robin.choose(route), first)
--- a/test/test_subsets.py
+++ b/test/test_subsets.py
@@ -8,7 +8,7 @@
 
 from whinwinch import directory, subsets
 from whinwinch.messages import Endpoint
-from whinwinch.subsets import SUBSET_SIZE, Reach
+from whinwinch.subsets import SUBSET_SIZE, Reachability
 
 SERVICES = ("catalog", "royalties", "archive", "submissions")
 # Number of endpoints of each service in six zones, as uneven as in a large deployment.
@@ -55,7 +55,7 @@
     )
 
     def find_reach(address):
-        return Reach.PAUSING if address in unreachable else Reach.UP
+        return Reachability.BACKING_OFF if address in unreachable else Reachability.UP
 
     return [e.address for e in subsets.choose_usable(preferred, find_reach).endpoints]
 
@@ -142,16 +142,16 @@
         they were never tried again, they would stay idle after their recovery.
         """
         mesh = build_mesh(((30,),))
-        reaches = dict.fromkeys((e.address for e in mesh), Reach.UP)
-        reaches.update((e.address, Reach.DUE) for e in mesh[:6])
-        reaches.update((e.address, Reach.UNTRIED) for e in mesh[6:8])
+        reaches = dict.fromkeys((e.address for e in mesh), Reachability.UP)
+        reaches.update((e.address, Reachability.RETRY_DUE) for e in mesh[:6])
+        reaches.update((e.address, Reachability.UNTRIED) for e in mesh[6:8])
         usable = subsets.choose_usable(mesh, reaches.get)
         self.assertEqual(list(usable.endpoints), mesh[8:18])
-        self.assertEqual(set(usable.wanted), set(mesh[:8]))
+        self.assertEqual(set(usable.to_connect), set(mesh[:8]))
 
     def test_all_endpoints_are_tried_when_all_are_unreachable(self):
         mesh = build_mesh(((3,),))
-        usable = subsets.choose_usable(mesh, lambda address: Reach.DUE)
+        usable = subsets.choose_usable(mesh, lambda address: Reachability.RETRY_DUE)
         self.assertEqual(list(usable.endpoints), mesh)
 
     def test_second_daemon_of_a_zone_changes_few_connections(self):
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -48,7 +48,7 @@
     metrics: metrics.Metrics
     running: running.Running
     ledger: retries.Ledger
-    levels: levels.Levels
+    levels: levels.LearnedLevels
     peers: links.Peers
     control: control.Control
     notes: recording.Notes
@@ -104,7 +104,7 @@
         metrics=counts,
         running=running.Running(),
         ledger=ledger,
-        levels=levels.Levels(),
+        levels=levels.LearnedLevels(),
         peers=peers,
         control=control.Control(
             loop,
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -25,7 +25,7 @@
         note_end: Takes a `Request` and its `Answer`; notes in the log how
             claimed work ended.
         ledger: `retries.Ledger` of the attempts inside.
-        levels: `levels.Levels` of the daemon.
+        levels: `levels.LearnedLevels` of the daemon.
         running: `running.Running`.
         takes_work: Returns whether new work is taken.
         max_body: Largest answer taken, in bytes.
--- a/whinwinch/backends/guard.py
+++ b/whinwinch/backends/guard.py
@@ -188,7 +188,7 @@
         told = int((request.deadline - started) * 1000.0) / 1000.0
         self._watch.start(
             request.attempt,
-            callgraph.Running(
+            callgraph.RunningRequest(
                 request.call,
                 request.root,
                 request.importance,
--- a/whinwinch/callgraph.py
+++ b/whinwinch/callgraph.py
@@ -79,7 +79,7 @@
     child: str
 
 
-class Facts(NamedTuple):
+class Topology(NamedTuple):
     """The part of the call topology that daemons report to each other.
 
     Attributes:
@@ -91,7 +91,7 @@
     calls: tuple[Edge, ...] = ()
 
 
-class Running(NamedTuple):
+class RunningRequest(NamedTuple):
     """A request that the local backend server executes.
 
     Attributes:
@@ -115,7 +115,7 @@
     """One execution of a request by the local backend server, with its calls.
 
     Attributes:
-        request: `Running`.
+        request: The `RunningRequest`.
         started: When it was sent to the backend server, by the loop's clock.
         importance: Importance that its calls inherit.
         made: Number of calls that it has made.
@@ -205,13 +205,13 @@
     """The routes and calls that one daemon has observed.
 
     Attributes:
-        horizon: Time of the loop's clock by which every request has expired that the
-            backend server received before this daemon started. Until then its calls
-            can't be distinguished from callers' requests.
+        unknown_until: Time of the loop's clock by which every request has expired that
+            the backend server received before this daemon started. Until then its
+            calls can't be distinguished from callers' requests.
     """
 
     def __init__(self):
-        self.horizon = 0.0
+        self.unknown_until = 0.0
         self._running = {}
         # Running requests by deadline, in buckets of `DEADLINE_TOLERANCE_SECONDS`.
         self._deadline_buckets = {}
@@ -243,7 +243,7 @@
 
         Args:
             attempt: Identifier of the attempt.
-            running: The `Running` request.
+            running: The `RunningRequest`.
             now: Time of the loop's clock in seconds.
         """
         run = self._running[attempt] = Run(running, now)
@@ -274,8 +274,8 @@
         if not answered:
             heapq.heappush(self._abandoned_deadlines, deadline)
 
-    def list_facts(self):
-        """Return the `Facts` that this daemon observed or that others reported."""
+    def export_topology(self):
+        """Return the `Topology` that this daemon observed or that others reported."""
         observed = {
             Edge(parent, child)
             for child, parents in self._parents.items()
@@ -283,20 +283,20 @@
             if observations >= MIN_REPORTED_OBSERVATIONS
             and _is_confirmed_parent(parents, parent)
         }
-        return Facts(
+        return Topology(
             tuple(sorted(self._entries)),
             tuple(sorted(observed | self._reported_edges)),
         )
 
-    def learn(self, facts):
-        """Merge the `Facts` of another daemon.
+    def merge_topology(self, topology):
+        """Merge the `Topology` of another daemon.
 
         Each call counts as `MIN_OBSERVATIONS` local observations, so that local
         observations that contradict it outweigh it in time.
         """
         if len(self._entries) < MAX_ROUTES:
-            self._entries.update(facts.entries)
-        for edge in facts.calls:
+            self._entries.update(topology.entries)
+        for edge in topology.calls:
             if edge in self._reported_edges or len(self._reported_edges) >= MAX_ROUTES:
                 continue
             self._reported_edges.add(edge)
@@ -408,7 +408,7 @@
     def _expires_last(self, deadline, now):
         """Return whether a deadline is later than those of all possible parents."""
         earliest = deadline - MAX_READ_DELAY_SECONDS
-        if self.horizon > earliest:
+        if self.unknown_until > earliest:
             return False
         abandoned = self._abandoned_deadlines
         while abandoned and abandoned[0] < now - MAX_READ_DELAY_SECONDS:
--- a/whinwinch/daemons/frames.py
+++ b/whinwinch/daemons/frames.py
@@ -10,7 +10,7 @@
 
 import msgpack
 
-from .. import board, callgraph, messages
+from .. import callgraph, messages, reportedlevels
 from ..logservice import keyed
 
 # A request and its body, an answer and its body.
@@ -99,17 +99,17 @@
     Attributes:
         is_total: Whether of all daemons that the relay has heard of; else of those
             that tell their levels to it.
-        cuts: `board.RouteCut` tuples.
+        cuts: `reportedlevels.RouteShedding` tuples.
     """
 
     is_total: bool
-    cuts: tuple[board.RouteCut, ...]
+    cuts: tuple[reportedlevels.RouteShedding, ...]
 
 
 class Graph(NamedTuple):
     """What is known of the calls that requests make."""
 
-    facts: callgraph.Facts
+    facts: callgraph.Topology
 
 
 class Gossip(NamedTuple):
@@ -293,14 +293,14 @@
 
 def _decode_facts(entries, calls):
     edges = [callgraph.Edge(*map(_check_text, call)) for call in calls]
-    return callgraph.Facts(tuple(map(_check_text, entries)), tuple(edges))
+    return callgraph.Topology(tuple(map(_check_text, entries)), tuple(edges))
 
 
 def _decode_cut(route, cuts):
     whole = tuple(_check_offset(cut) for cut in cuts)
-    if len(whole) != len(board.NO_CUTS):
+    if len(whole) != len(reportedlevels.NO_SHED_SHARES):
         raise ValueError("a cut for each importance is wanted")
-    return board.RouteCut(_check_text(route), whole)
+    return reportedlevels.RouteShedding(_check_text(route), whole)
 
 
 def _check_text(text):
--- a/whinwinch/daemons/links.py
+++ b/whinwinch/daemons/links.py
@@ -16,7 +16,7 @@
 
 from .. import events
 from ..messages import Outcome, Reason, build_failure
-from ..subsets import Reach
+from ..subsets import Reachability
 from . import frames, traffic
 
 # A new connection takes one round trip, 2 ms between zones; ten times that on a
@@ -138,12 +138,16 @@
 
     @property
     def reach(self):
-        """The `Reach` of the other daemon."""
+        """The `Reachability` of the other daemon."""
         if self.is_up:
-            return Reach.UP
+            return Reachability.UP
         if not self._pause:
-            return Reach.UNTRIED
-        return Reach.DUE if self._loop.time() >= self._next_try else Reach.PAUSING
+            return Reachability.UNTRIED
+        return (
+            Reachability.RETRY_DUE
+            if self._loop.time() >= self._next_try
+            else Reachability.BACKING_OFF
+        )
 
     async def call(self, request):
         """Send one attempt and return its answer; never raises for the network."""
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -28,7 +28,7 @@
         peers: `daemons.links.Peers`.
         guard: `backends.guard.Guard` of the local backend server.
         placement: `placement.Placement`.
-        board: `board.Board`.
+        reported_levels: `reportedlevels.ReportedLevels`.
 
     Attributes:
         refused: Number of refusals by `messages.Refusal`.
@@ -36,7 +36,14 @@
     """
 
     def __init__(
-        self, local_address, directory, preferences, peers, guard, placement, board
+        self,
+        local_address,
+        directory,
+        preferences,
+        peers,
+        guard,
+        placement,
+        reported_levels,
     ):
         self._loop = asyncio.get_running_loop()
         self._local_address = local_address
@@ -45,7 +52,7 @@
         self._peers = peers
         self._guard = guard
         self._placement = placement
-        self._board = board
+        self._reported_levels = reported_levels
         self.refused = collections.Counter()
         self.repeated = collections.Counter()
 
@@ -104,7 +111,7 @@
 
     def list_set_aside(self):
         """Return the addresses of the endpoints that are set aside at present."""
-        observed = self._placement.known
+        observed = self._placement.used_daemons
         services = {e.service for e in self._directory.everyone if e.daemon in observed}
         now = self._loop.time()
         return sorted(
@@ -120,7 +127,7 @@
         final = retries.finalize_answer(answer, may_have_run)
         if final.outcome is not Outcome.NOT_RUN or request.via:
             return final
-        baseline_latency = self._placement.find_usual(request)
+        baseline_latency = self._placement.find_baseline(request)
         max_delay = request.due - self._loop.time() - baseline_latency
         delay = hints.fit_retry_after(final.retry_after, max_delay, final.attempt)
         return final._replace(retry_after=delay)
@@ -157,13 +164,13 @@
         """Return the endpoints of a service whose daemons can be reached."""
         preferred = self._preferences.list_preferred(service)
         usable = subsets.choose_usable(preferred, self._find_reach)
-        for endpoint in usable.wanted:
+        for endpoint in usable.to_connect:
             self._peers.find(endpoint.address).connect()
         return usable.endpoints
 
     def _find_reach(self, address):
         if address == self._local_address:
-            return subsets.Reach.UP
+            return subsets.Reachability.UP
         return self._peers.find(address).reach
 
     def _count_untried(self, service, tried):
@@ -173,7 +180,7 @@
     def _refuse_by_level(self, request):
         now = self._loop.time()
         endpoints = self._directory.find_endpoints(request.service)
-        level = self._board.level(request.call, endpoints, now)
+        level = self._reported_levels.level(request.call, endpoints, now)
         decision = refuse_below(request, level)
         if decision is None:
             return None
--- a/whinwinch/gauges.py
+++ b/whinwinch/gauges.py
@@ -1,6 +1,6 @@
 """What a daemon on the event loop tells of the moment, for its metrics page."""
 
-from . import loadlines
+from . import loadlog
 from .metrics import Gauge, Label
 
 
@@ -50,7 +50,7 @@
         Gauge("set_aside", 1, build_labels(endpoint=address))
         for address in instance.forwarder.list_set_aside()
     ]
-    for refused in loadlines.list_refused(instance):
+    for refused in loadlog.list_refusals(instance):
         labels = build_labels(at=refused.at, route=refused.route, reason=refused.reason)
         gauges.append(Gauge("refusals_total", refused.count, labels))
     return gauges
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -15,19 +15,19 @@
     callgraph,
     directory,
     events,
-    loadlines,
+    loadlog,
     messages,
     repeats,
     routes,
     subsets,
 )
 from .backends.guard import Backend, Guard
-from .board import Board
 from .daemons import exchange, frames, links, topics, traffic
 from .forwarding import Forwarder
 from .logservice import sources
 from .messages import Outcome, Reason, build_failure
 from .placement import Placement
+from .reportedlevels import ReportedLevels
 
 # Share of a route's objective that a call from inside may wait for a slot. The calls
 # of one request wait one after the other: longer, and what is let in comes late.
@@ -100,14 +100,14 @@
     def __init__(self, place, backend_address, dialect, repeat_terms):
         self._loop = asyncio.get_running_loop()
         self.place = place
-        self.table = routes.Table()
-        self.shares = routes.Shares()
+        self.table = routes.RouteTable()
+        self.round_robin = routes.WeightedRoundRobin()
         self.directory = directory.Directory(place.address)
         hello = frames.Hello(messages.new_identifier(), place.address)
         self.traffic = traffic.Traffic(self._is_far)
         self.peers = links.Peers(hello, self._take_news, self.traffic)
         self.graph = callgraph.CallGraph()
-        self._board = Board()
+        self._reported_levels = ReportedLevels()
         self.guard = Guard(
             backend_address,
             dialect,
@@ -137,7 +137,7 @@
             self.peers,
             self.guard,
             Placement(place.zone, random.Random()),
-            self._board,
+            self._reported_levels,
         )
         self.is_stopping = False
         self._is_leaving = False
@@ -165,11 +165,11 @@
         events.write("configuration", change)
         self.table = table
         self._table_since = self._loop.time()
-        self.shares.keep(table)
+        self.round_robin.prune(table)
         self._routes = {route.name: route for route in table.routes}
         self._service_routes = _group_by_service(table.routes)
         timeouts = [r.timeout for r in table.routes if math.isfinite(r.timeout)]
-        self.graph.horizon = self._started + max(timeouts, default=0.0)
+        self.graph.unknown_until = self._started + max(timeouts, default=0.0)
         return True
 
     def find_table_age(self, now):
@@ -205,10 +205,10 @@
         """
         parent = self._find_parent(request, connection, expires)
         if parent is None:
-            return await self.forwarder.serve(request, route.most_endpoints)
+            return await self.forwarder.serve(request, route.max_endpoints)
         try:
             call = self._inherit(request, parent)
-            return await self.forwarder.serve(call, route.most_endpoints)
+            return await self.forwarder.serve(call, route.max_endpoints)
         finally:
             self.graph.end_call(parent, connection, self._loop.time())
 
@@ -315,13 +315,13 @@
         """Take what one daemon tells its relay, or a relay others."""
         now = self._loop.time()
         if isinstance(frame, frames.Graph):
-            self.graph.learn(frame.facts)
+            self.graph.merge_topology(frame.facts)
         elif isinstance(frame, frames.Levels):
-            self._board.tell(address, frame.levels, now)
+            self._reported_levels.record_levels(address, frame.levels, now)
         elif frame.is_total:
-            self._board.tell_total(frame.cuts, now)
+            self._reported_levels.record_total(frame.cuts, now)
         else:
-            self._board.tell_sum(address, frame.cuts, now)
+            self._reported_levels.record_relay_sum(address, frame.cuts, now)
 
     async def keep_levels(self):
         """Tell the relay the levels of the own routes, for ever."""
@@ -330,7 +330,9 @@
             await asyncio.sleep(TELL_SECONDS)
             levels = tuple(self.list_levels())
             if levels or told:
-                self._board.tell(self.place.address, levels, self._loop.time())
+                self._reported_levels.record_levels(
+                    self.place.address, levels, self._loop.time()
+                )
                 if not self._sources.is_relay:
                     self.peers.find(self._sources.reader).tell(frames.Levels(levels))
             told = levels
@@ -349,12 +351,15 @@
             told: What was returned the time before. Zeros are told once.
         """
         now = self._loop.time()
-        own, total = self._board.add_up(now), self._board.add_up_all(now)
+        own, total = (
+            self._reported_levels.sum_daemons(now),
+            self._reported_levels.sum_all(now),
+        )
         if total or told:
             for address in self._sources.others:
                 self.peers.find(address).tell(frames.LevelSum(False, own))
             self.exchange.tell_all(frames.LevelSum(True, total), self._is_near)
-            self._board.tell_total(total, now)
+            self._reported_levels.record_total(total, now)
         return total
 
     async def keep_graph(self):
@@ -366,7 +371,7 @@
         told, repeat = None, 0.0
         while True:
             await asyncio.sleep(GRAPH_SECONDS)
-            facts, reader = self.graph.list_facts(), self._sources.reader
+            facts, reader = self.graph.export_topology(), self._sources.reader
             now = self._loop.time()
             if (facts, reader) != told or now >= repeat:
                 self._tell_graph(frames.Graph(facts))
@@ -438,18 +443,18 @@
             yield level.route, max(level.own, level.below)
 
     def list_route_levels(self):
-        """Yield a `loadlines.RouteLevel` for each own route that has a level."""
+        """Yield a `loadlog.RouteLevel` for each own route that has a level."""
         for name in self._find_own_routes():
             own, below = self.guard.find_level(name), self._find_below(name)
             if own > 0.0 or below > 0.0:
-                yield loadlines.RouteLevel(name, own, below)
+                yield loadlog.RouteLevel(name, own, below)
 
     async def keep_load_lines(self):
         """Log the load of each second, for ever."""
-        meter = loadlines.Meter(self, self._loop.time())
+        meter = loadlog.LoadMeter(self, self._loop.time())
         while True:
-            await asyncio.sleep(loadlines.LINE_SECONDS)
-            loadlines.write_load(meter.read(self._loop.time()))
+            await asyncio.sleep(loadlog.LOG_INTERVAL_SECONDS)
+            loadlog.write_load(meter.read(self._loop.time()))
 
     def _count_endpoints(self):
         """Return how many endpoints the service of the own backend server has."""
@@ -469,12 +474,12 @@
         now = self._loop.time()
         return max(
             (
-                self._board.level(
+                self._reported_levels.level(
                     child, self.directory.find_endpoints(part.service), now
                 )
                 for child in self.graph.find_children(name)
                 if child in self._routes
-                for part in self._routes[child].parts
+                for part in self._routes[child].weighted_services
             ),
             default=0.0,
         )
@@ -484,7 +489,7 @@
     """Return the names of routes by the services that they lead to."""
     names = collections.defaultdict(list)
     for route in routes:
-        for service in {part.service for part in route.parts}:
+        for service in {part.service for part in route.weighted_services}:
             names[service].append(route.name)
     return dict(names)
 
--- a/whinwinch/levels.py
+++ b/whinwinch/levels.py
@@ -89,7 +89,7 @@
         return min(1.0, max(0.0, 1.0 - excess / DECAY_SECONDS))
 
 
-class Levels:
+class LearnedLevels:
     """Admission levels by service and call, and by flow within them.
 
     There are two sets: the levels that apply to callers of a service, which include
--- a/whinwinch/loadlines.py
+++ b/whinwinch/loadlog.py
@@ -12,7 +12,7 @@
 from .daemons import traffic
 from .gate import Use
 
-LINE_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 
 
 class RouteLevel(NamedTuple):
@@ -73,7 +73,7 @@
     sent: tuple[traffic.Sent, ...]
 
 
-def list_refused(instance):
+def list_refusals(instance):
     """Yield the `RefusalCount` of each kind since the start of an `Instance`."""
     for at, counts in (
         ("entry", instance.forwarder.refused),
@@ -83,7 +83,7 @@
             yield RefusalCount(at, refusal.route, refusal.reason.value, count)
 
 
-class Meter:
+class LoadMeter:
     """Measures the load of an `instance.Instance` between two readings.
 
     Args:
@@ -127,7 +127,7 @@
 
     def _read_refused(self):
         refused = collections.Counter(
-            {count[:-1]: count.count for count in list_refused(self._instance)}
+            {count[:-1]: count.count for count in list_refusals(self._instance)}
         )
         increase = refused - self._refused
         self._refused = refused
--- a/whinwinch/placement.py
+++ b/whinwinch/placement.py
@@ -208,12 +208,12 @@
         ground = f"cost {lowest:.2f} of {listed}; {len(aside)} set aside"
         return Choice(drawn[costs.index(lowest)], ground)
 
-    def find_usual(self, request):
+    def find_baseline(self, request):
         """Return the baseline latency of a call in seconds, 0 before any answer."""
         return self._baselines.get(build_baseline_key(request), 0.0)
 
     @property
-    def known(self):
+    def used_daemons(self):
         """Identifiers of the daemons whose endpoints were recently used."""
         return self._records.keys()
 
--- a/whinwinch/platform/configuration.py
+++ b/whinwinch/platform/configuration.py
@@ -7,7 +7,7 @@
 from ..errors import Finding, raise_findings
 from ..http1.server import Limits
 from ..messages import Importance
-from ..routes import Part, Route, Table
+from ..routes import Route, RouteTable, WeightedService
 from .values import parse_duration, parse_version
 
 # The platform ranks from 0, the highest; what is beyond the last is LOW.
@@ -25,7 +25,7 @@
         limits: What callers may send.
     """
 
-    table: Table
+    table: RouteTable
     limits: Limits
 
 
@@ -51,7 +51,7 @@
             findings.append(Finding(f"routes.{name}", f"{error!r}"))
     raise_findings(f"configuration {version} can't be read", findings)
     limits = _parse_limits(document.get("limits") or {})
-    return Configuration(Table(version, routes), limits)
+    return Configuration(RouteTable(version, routes), limits)
 
 
 def _list_items(routes):
@@ -68,21 +68,21 @@
     return Route(
         name=name,
         host=fields["host"].lower(),
-        prefix=fields["path_prefix"],
-        parts=_parse_parts(fields),
+        path_prefix=fields["path_prefix"],
+        weighted_services=_parse_parts(fields),
         repeatable=kind == _REPEATABLE_KIND,
         importance=_rank(fields.get("priority")),
         timeout=_parse_time(fields.get("timeout")),
         objective=_parse_time(fields.get("target_latency")),
-        most_endpoints=max(1, int(fields.get("max_attempts") or 1)),
+        max_endpoints=max(1, int(fields.get("max_attempts") or 1)),
     )
 
 
 def _parse_parts(fields):
     if fields.get("service"):
-        return (Part(fields["service"], 1),)
+        return (WeightedService(fields["service"], 1),)
     parts = tuple(
-        Part(part["service"], int(part["weight"]))
+        WeightedService(part["service"], int(part["weight"]))
         for part in fields["weighted_services"]
         if int(part["weight"]) > 0
     )
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -12,7 +12,7 @@
 from .. import events, gauges, messages
 from ..announcements import Announcements, State
 from ..backends.guard import Backend, Dialect
-from ..callgraph import Edge, Facts
+from ..callgraph import Edge, Topology
 from ..errors import InputErrors, UserError
 from ..http1.messages import HttpResponse
 from ..http1.server import Limits, Server
@@ -87,7 +87,7 @@
         self._store = Store(given.store)
         self._announcements = Announcements()
         # What the store holds of calls.
-        self._recorded = Facts()
+        self._recorded = Topology()
         self.instance = Instance(
             Place(str(given.daemons), given.zone, given.region),
             given.backend,
@@ -220,7 +220,7 @@
         request = dialect.build_request(
             http,
             route,
-            instance.shares.choose(route),
+            instance.round_robin.choose(route),
             self._settings.service,
             now + min(arrival.seconds, route.timeout),
             now + min(route.objective, route.timeout, arrival.seconds),
@@ -353,7 +353,7 @@
             events.write("record-unread", events.Message(f"{GRAPH_KEY}: {error}"))
             return
         self._recorded = facts
-        self.instance.graph.learn(facts)
+        self.instance.graph.merge_topology(facts)
 
     async def _keep_graph_record(self):
         """As a reader keep what is known of calls in the store.
@@ -381,17 +381,17 @@
                 events.write("record-not-written", events.Message(str(error)))
 
     def _find_unrecorded(self):
-        """Return the `Facts` on present routes if some aren't in the store, or None."""
+        """Return the `Topology` of present routes, or None if the store has it."""
         if not self._records.copy.is_known:
             return None
-        known = self.instance.graph.list_facts()
+        known = self.instance.graph.export_topology()
         routes = {route.name for route in self.instance.table.routes}
         entries = tuple(name for name in known.entries if name in routes)
         calls = tuple(edge for edge in known.calls if routes.issuperset(edge))
         is_recorded = set(entries) <= set(self._recorded.entries)
         if is_recorded and set(calls) <= set(self._recorded.calls):
             return None
-        return Facts(entries, calls)
+        return Topology(entries, calls)
 
     async def _withdraw_record(self):
         """Take the own record out of the store, so that nobody starts with it."""
@@ -454,7 +454,7 @@
 
 
 def decode_facts(value):
-    """Return the `Facts` of a record's value.
+    """Return the `Topology` of a record's value.
 
     Raises:
         ValueError: When it is no such record.
@@ -470,7 +470,7 @@
             raise ValueError("must hold names of routes")
     if any(len(names) != len(Edge._fields) for names in calls):
         raise ValueError("a call has a parent and a child")
-    return Facts(tuple(entries), tuple(Edge(*names) for names in calls))
+    return Topology(tuple(entries), tuple(Edge(*names) for names in calls))
 
 
 def run():
--- a/whinwinch/board.py
+++ b/whinwinch/reportedlevels.py
@@ -23,23 +23,23 @@
 MAX_REPORT_AGE_SECONDS = 0.5
 # Shed shares are integers in thousandths, which have a short encoding.
 SHARE_SCALE = 1000
-NO_CUTS = (0,) * CLASSES
+NO_SHED_SHARES = (0,) * CLASSES
 
 
-class RouteCut(NamedTuple):
+class RouteShedding(NamedTuple):
     """Shares of a route's requests that its endpoints shed.
 
     Attributes:
         route: Name of the route.
-        cuts: For each importance, the lowest first, the sum over the endpoints of the
-            share that each of them sheds, in thousandths.
+        shed_shares: For each importance, the lowest first, the sum over the endpoints
+            of the share that each of them sheds, in thousandths.
     """
 
     route: str
-    cuts: tuple[int, ...]
+    shed_shares: tuple[int, ...]
 
 
-class Board:
+class ReportedLevels:
     """Levels of routes that were reported to one daemon."""
 
     def __init__(self):
@@ -47,7 +47,7 @@
         self._relay_reports = {}
         self._total_report = Report(-math.inf, {})
 
-    def tell(self, address, levels, now):
+    def record_levels(self, address, levels, now):
         """Record the levels that a daemon reports for its local backend server.
 
         Args:
@@ -55,34 +55,34 @@
             levels: Pairs of a route's name and its level; levels of 0 are left out.
             now: Time of the loop's clock in seconds.
         """
-        cuts = {route: compute_shed_shares(level) for route, level in levels}
-        self._daemon_reports[address] = Report(now, cuts)
+        shed_shares = {route: compute_shed_shares(level) for route, level in levels}
+        self._daemon_reports[address] = Report(now, shed_shares)
 
-    def tell_sum(self, address, cuts, now):
+    def record_relay_sum(self, address, shed_shares, now):
         """Record the sum that the relay of another zone reports for its daemons.
 
         Args:
             address: Address of the relay.
-            cuts: `RouteCut` tuples.
+            shed_shares: `RouteShedding` tuples.
             now: Time of the loop's clock in seconds.
         """
-        self._relay_reports[address] = Report(now, dict(cuts))
+        self._relay_reports[address] = Report(now, dict(shed_shares))
 
-    def tell_total(self, cuts, now):
+    def record_total(self, shed_shares, now):
         """Record the sum over all daemons that the local zone's relay reports.
 
         Args:
-            cuts: `RouteCut` tuples.
+            shed_shares: `RouteShedding` tuples.
             now: Time of the loop's clock in seconds.
         """
-        self._total_report = Report(now, dict(cuts))
+        self._total_report = Report(now, dict(shed_shares))
 
-    def add_up(self, now):
-        """Return the `RouteCut` tuples of the daemons that report to this one."""
+    def sum_daemons(self, now):
+        """Return the `RouteShedding` tuples of the daemons that report to this one."""
         return _sum_reports(now, self._daemon_reports)
 
-    def add_up_all(self, now):
-        """Return the `RouteCut` tuples of all daemons that a relay knows of."""
+    def sum_all(self, now):
+        """Return the `RouteShedding` tuples of all daemons that a relay knows of."""
         return _sum_reports(now, self._daemon_reports, self._relay_reports)
 
     def level(self, route, endpoints, now):
@@ -94,9 +94,9 @@
                 admitting everything.
             now: Time of the loop's clock in seconds.
         """
-        total = self._total_report.cuts
+        total = self._total_report.shed_shares
         if now - self._total_report.time >= MAX_REPORT_AGE_SECONDS:
-            total = dict(self.add_up(now))
+            total = dict(self.sum_daemons(now))
         return combine_shed_shares(total.get(route, ()), len(endpoints))
 
 
@@ -105,15 +105,15 @@
 
     Attributes:
         time: When it arrived, by the loop's clock in seconds.
-        cuts: Shed shares by route, as in `RouteCut`.
+        shed_shares: Shed shares by route, as in `RouteShedding`.
     """
 
     time: float
-    cuts: dict
+    shed_shares: dict
 
 
 def _sum_reports(now, *tables):
-    """Return the sum of recent reports as `RouteCut` tuples, and drop older ones.
+    """Return the sum of recent reports as `RouteShedding` tuples, and drop older ones.
 
     Args:
         now: Time of the loop's clock in seconds.
@@ -123,10 +123,12 @@
     for table in tables:
         _drop_outdated(table, now)
         for report in table.values():
-            for route, cuts in report.cuts.items():
-                before = sums.get(route, NO_CUTS)
-                sums[route] = tuple(map(operator.add, before, cuts))
-    return tuple(RouteCut(route, cuts) for route, cuts in sorted(sums.items()))
+            for route, shed_shares in report.shed_shares.items():
+                before = sums.get(route, NO_SHED_SHARES)
+                sums[route] = tuple(map(operator.add, before, shed_shares))
+    return tuple(
+        RouteShedding(route, shed_shares) for route, shed_shares in sorted(sums.items())
+    )
 
 
 def _drop_outdated(table, now):
@@ -147,7 +149,7 @@
     )
 
 
-def combine_shed_shares(cuts, count):
+def combine_shed_shares(shed_shares, count):
     """Return one level that admits about as much as several endpoints together.
 
     It is computed in the highest importance that any of them sheds. The plain mean of
@@ -155,11 +157,11 @@
     has capacity for only a tenth of its share of them.
 
     Args:
-        cuts: Sum of the shed shares of each importance over the endpoints, in
+        shed_shares: Sum of the shed shares of each importance over the endpoints, in
             thousandths.
         count: Number of endpoints, including those that shed nothing.
     """
-    for index in reversed(range(len(cuts))):
-        if cuts[index] and count:
-            return index + min(cuts[index] / (SHARE_SCALE * count), 1.0)
+    for index in reversed(range(len(shed_shares))):
+        if shed_shares[index] and count:
+            return index + min(shed_shares[index] / (SHARE_SCALE * count), 1.0)
     return 0.0
--- a/whinwinch/router.py
+++ b/whinwinch/router.py
@@ -90,7 +90,7 @@
         match_call: Function from a service spec, HTTP method and path to the
             `resources.CallSpec`.
         placement_state: `placement.Placement`.
-        levels: `levels.Levels`.
+        levels: `levels.LearnedLevels`.
         ledger: `retries.Ledger`.
         running: `running.Running`.
         random: Function that returns a float from 0 to 1, for the backoff jitter.
--- a/whinwinch/routes.py
+++ b/whinwinch/routes.py
@@ -11,7 +11,7 @@
 from .messages import Importance
 
 
-class Part(NamedTuple):
+class WeightedService(NamedTuple):
     """A service that a route leads to, with its weight.
 
     Attributes:
@@ -29,27 +29,27 @@
     Attributes:
         name: Name of the route.
         host: Host that requests are addressed to.
-        prefix: Prefix of their path.
-        parts: Weighted services that the route leads to.
+        path_prefix: Prefix of their path.
+        weighted_services: Services with their weights that the route leads to.
         repeatable: Whether a request may be executed more than once.
         importance: Declared importance.
         timeout: Maximum time until a caller gets an answer, in seconds.
         objective: Target latency in seconds, after which an answer has less value.
-        most_endpoints: Maximum number of endpoints that one request is sent to.
+        max_endpoints: Maximum number of endpoints that one request is sent to.
     """
 
     name: str
     host: str
-    prefix: str
-    parts: tuple[Part, ...]
+    path_prefix: str
+    weighted_services: tuple[WeightedService, ...]
     repeatable: bool = False
     importance: Importance = Importance.NORMAL
     timeout: float = math.inf
     objective: float = math.inf
-    most_endpoints: int = 1
+    max_endpoints: int = 1
 
 
-class Table:
+class RouteTable:
     """Routes of one configuration.
 
     Args:
@@ -64,7 +64,7 @@
         for route in self.routes:
             self._hosts.setdefault(route.host, []).append(route)
         for host_routes in self._hosts.values():
-            host_routes.sort(key=lambda route: len(route.prefix), reverse=True)
+            host_routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, host, path):
         """Return the route of a request, or None.
@@ -74,12 +74,12 @@
             path: Path without the query.
         """
         for route in self._hosts.get(host, ()):
-            if path.startswith(route.prefix):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
 
-class Shares:
+class WeightedRoundRobin:
     """Smooth weighted round robin over the services of each route."""
 
     def __init__(self):
@@ -87,22 +87,26 @@
 
     def choose(self, route):
         """Return the service for the next request of a route."""
-        if len(route.parts) == 1:
-            return route.parts[0].service
-        credits = self._credits.get(route.parts)
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        credits = self._credits.get(route.weighted_services)
         if credits is None:
-            credits = self._credits[route.parts] = [0] * len(route.parts)
+            credits = self._credits[route.weighted_services] = [0] * len(
+                route.weighted_services
+            )
         total = 0
-        for index, part in enumerate(route.parts):
+        for index, part in enumerate(route.weighted_services):
             credits[index] += part.weight
             total += part.weight
         index = max(range(len(credits)), key=credits.__getitem__)
         credits[index] -= total
-        return route.parts[index].service
+        return route.weighted_services[index].service
 
-    def keep(self, table):
+    def prune(self, table):
         """Drop the state of services that no route of a table leads to any more."""
-        parts = {route.parts for route in table.routes}
+        weighted_services = {route.weighted_services for route in table.routes}
         self._credits = {
-            key: value for key, value in self._credits.items() if key in parts
+            key: value
+            for key, value in self._credits.items()
+            if key in weighted_services
         }
--- a/whinwinch/subsets.py
+++ b/whinwinch/subsets.py
@@ -30,20 +30,20 @@
 MAX_LOCAL_ENDPOINTS = 8
 
 
-class Reach(enum.Enum):
+class Reachability(enum.Enum):
     """State of a daemon's connection to another.
 
     Attributes:
         UP: It is connected.
         UNTRIED: No connection has been tried yet.
-        DUE: It was unreachable, and the next try is due.
-        PAUSING: It was unreachable, and the next try isn't due yet.
+        RETRY_DUE: It was unreachable, and the next try is due.
+        BACKING_OFF: It was unreachable, and the next try isn't due yet.
     """
 
     UP = "connected"
     UNTRIED = "not yet tried"
-    DUE = "was out of reach, to be tried again"
-    PAUSING = "was out of reach a moment ago"
+    RETRY_DUE = "was out of reach, to be tried again"
+    BACKING_OFF = "was out of reach a moment ago"
 
 
 class Usable(NamedTuple):
@@ -51,11 +51,11 @@
 
     Attributes:
         endpoints: Endpoints to choose from for a call.
-        wanted: Endpoints that the daemon should connect to.
+        to_connect: Endpoints that the daemon should connect to.
     """
 
     endpoints: Sequence[Endpoint]
-    wanted: Sequence[Endpoint]
+    to_connect: Sequence[Endpoint]
 
 
 class Subsets:
@@ -101,21 +101,21 @@
 
     Args:
         preferred: `Endpoint` tuples in the order in which the daemon prefers them.
-        find_reach: Function that returns the `Reach` of an address.
+        find_reach: Function that returns the `Reachability` of an address.
 
     Returns:
         A `Usable`.
     """
-    by_reach = {reach: [] for reach in Reach}
+    by_reach = {reach: [] for reach in Reachability}
     counted = 0
     for endpoint in preferred:
         reach = find_reach(endpoint.address)
         by_reach[reach].append(endpoint)
-        counted += reach in (Reach.UP, Reach.UNTRIED)
+        counted += reach in (Reachability.UP, Reachability.UNTRIED)
         if counted == SUBSET_SIZE:
             break
-    untried, due = by_reach[Reach.UNTRIED], by_reach[Reach.DUE]
-    return Usable(by_reach[Reach.UP] or untried or due, (*untried, *due))
+    untried, due = by_reach[Reachability.UNTRIED], by_reach[Reachability.RETRY_DUE]
+    return Usable(by_reach[Reachability.UP] or untried or due, (*untried, *due))
 
 
 def find_position(own_address, zone, everyone):
