--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -260,13 +260,13 @@
 
     def _decide_retry(self, sent, answer, holder, tries):
         """Settle the budget; return the delay before a retry, or None."""
-        self.ledger.give_back(sent.attempt, answer.unused)
+        self.ledger.return_unused(sent.attempt, answer.unused)
         remaining = self.ledger.get_remaining(holder)
         now = self.mesh.loop.now
         decision = retries.decide_retry(
             sent, answer, remaining, tries, now, self._random
         )
-        if decision.again and self.ledger.take(holder):
+        if decision.again and self.ledger.try_spend(holder):
             return decision.delay
         return None
 
--- a/emulator/mesh.py
+++ b/emulator/mesh.py
@@ -136,7 +136,7 @@
             announcements=Address(LOCAL, ports[3]),
             metrics=ports[4],
             store=Address(LOCAL, self._store_port),
-            repeats=repeats.Terms(0.2, 20.0, 10.0),
+            repeats=repeats.RepeatLimits(0.2, 20.0, 10.0),
             drain=2.0,
             stop_grace=6.0,
         )
--- a/emulator/promises.py
+++ b/emulator/promises.py
@@ -22,7 +22,7 @@
         told: `caller.Told` of all requests.
         servers: `backend.Backend` objects.
         left: `troubles.Left` objects.
-        terms: `repeats.Terms` in force.
+        terms: `repeats.RepeatLimits` in force.
     """
 
     told: tuple
--- a/test/backends/test_gatekeeper.py
+++ b/test/backends/test_gatekeeper.py
@@ -60,7 +60,7 @@
         self.verdict = ClaimVerdict(Verdict.WON)
         self.ended = []
         self.takes_work = True
-        self.running = running.Running()
+        self.running = running.RunningAttempts()
         self.ledger = retries.Ledger()
         self.levels = levels.LearnedLevels()
         self.client = FakeClient(complete)
@@ -176,7 +176,7 @@
 
         def fail_below(request):
             refused = Answer("child", Outcome.NOT_RUN, Reason.LEVEL, retry_after=2.0)
-            self.running.note_answer(request.attempt, refused)
+            self.running.record_answer(request.attempt, refused)
             return Answer(request.attempt, Outcome.COMPLETED, status=503)
 
         self.client.answer = fail_below
@@ -193,7 +193,7 @@
 
         def meet_a_level(request):
             child = Answer("child", Outcome.COMPLETED, load=messages.Load(level=3.0))
-            self.running.note_answer(request.attempt, child)
+            self.running.record_answer(request.attempt, child)
             return complete(request)
 
         self.client.answer = meet_a_level
@@ -220,7 +220,7 @@
                 child = Answer(
                     "child", Outcome.COMPLETED, load=messages.Load(level=3.0)
                 )
-                self.running.note_answer(request.attempt, child)
+                self.running.record_answer(request.attempt, child)
             return complete(request)
 
         self.client.answer = meet_a_level_seldom
--- a/test/backends/test_guard.py
+++ b/test/backends/test_guard.py
@@ -33,7 +33,7 @@
             Address("127.0.0.1", port),
             guard.Dialect(form, judge, lambda request, response: True),
             repeats.RepeatBudget(
-                repeats.Terms(0.2, 3.0, 10.0),
+                repeats.RepeatLimits(0.2, 3.0, 10.0),
                 lambda: 1,
                 asyncio.get_running_loop().time() - 10.0,
             ),
--- a/test/callers/test_answers.py
+++ b/test/callers/test_answers.py
@@ -6,11 +6,11 @@
 from whinwinch.callers import answers
 from whinwinch.http1.messages import find_header
 from whinwinch.messages import Answer, Outcome, Reason
-from whinwinch.router import Routed
+from whinwinch.router import CallResult
 
 
 def form(answer):
-    return answers.form_answer(Routed(answer, "root-1", 2))
+    return answers.form_answer(CallResult(answer, "root-1", 2))
 
 
 class FormTest(unittest.TestCase):
--- a/test/emulator/test_promises.py
+++ b/test/emulator/test_promises.py
@@ -5,7 +5,7 @@
 from emulator import backend, caller, promises, troubles
 from whinwinch import repeats
 
-TERMS = repeats.Terms(0.2, 2.0, 10.0)
+TERMS = repeats.RepeatLimits(0.2, 2.0, 10.0)
 
 
 def build_server(service="front"):
--- a/test/models/drain_model.py
+++ b/test/models/drain_model.py
@@ -11,7 +11,7 @@
 from minicheck import Protocol
 
 from whinwinch import lifecycle
-from whinwinch.lifecycle import Flight, Lifecycle, Phase, Way
+from whinwinch.lifecycle import Direction, InFlight, Lifecycle, Phase
 
 # Ticks after which every sender has heard of the leave, and that a message may
 # travel; both together are no more than the quiet time before the stop.
@@ -132,7 +132,7 @@
         life = lifecycle.begin_leaving(state.life, now, ALLOWED, deadline)
         yield "stop signal", announce(state, life)
     if options.drains and not lifecycle.is_leaving(state.life):
-        life = lifecycle.mark_backend(state.life, True)
+        life = lifecycle.set_backend_leaving(state.life, True)
         yield "backend server drains", announce(state, life)
     flight = count_flight(state)
     life = options.advance(state.life, now, flight)
@@ -170,7 +170,7 @@
     """Return what the daemon has in flight."""
     phases = [request.phase for request in state.requests]
     inward = sum(phase in IN_FLIGHT for phase in phases)
-    return Flight(inward, phases.count(CALLING), float(state.arrival))
+    return InFlight(inward, phases.count(CALLING), float(state.arrival))
 
 
 def cut_off(state):
@@ -199,7 +199,7 @@
     elif request.phase == ON_WAY:
         yield "arrive", arrive(state, change, options)
     elif request.phase == INSIDE:
-        allowed = options.admits(state.life, Way.OUTWARD)
+        allowed = options.admits(state.life, Direction.OUTWARD)
         yield "call", change(phase=CALLING if allowed else CUT)
     elif request.phase == CALLING:
         yield "call answered", change(phase=CALLED)
@@ -214,7 +214,7 @@
 
 def arrive(state, change, options):
     """Return the state after a request reached the daemon."""
-    if not options.admits(state.life, Way.INWARD):
+    if not options.admits(state.life, Direction.INWARD):
         return change(phase=NOT_RUN, since=0)._replace(arrival=state.tick)
     leaving = lifecycle.is_leaving(state.life)
     return change(phase=INSIDE, late=leaving)._replace(arrival=state.tick)
--- a/test/models/grants.py
+++ b/test/models/grants.py
@@ -92,11 +92,11 @@
     """Return the policies of the trial by name."""
     return {
         "half": retries.grant_half,
-        "half up": lambda situation: (situation.held + 1) // 2,
-        "all": lambda situation: situation.held,
-        "but one": lambda situation: situation.held - (situation.held > 1),
-        "most": retries.grant_most,
-        "even": lambda situation: situation.held // (shape.fan_out + 1),
+        "half up": lambda context: (context.remaining + 1) // 2,
+        "all": lambda context: context.remaining,
+        "but one": lambda context: context.remaining - (context.remaining > 1),
+        "most": retries.grant_all_but_one,
+        "even": lambda context: context.remaining // (shape.fan_out + 1),
     }
 
 
@@ -170,8 +170,8 @@
     spent = result.spent
     attempt = child
     while True:
-        ledger.give_back(attempt, result.unused)
-        if result.whole or result.deeper or not ledger.take(name):
+        ledger.return_unused(attempt, result.unused)
+        if result.whole or result.deeper or not ledger.try_spend(name):
             return result.whole, spent
         attempt = f"{attempt}r"
         granted = ledger.grant(name, attempt)
@@ -194,7 +194,7 @@
     most = 0
     for _ in range(requests):
         # The entry makes one call, so there is nothing to share.
-        ledger = Ledger(retries.grant_most)
+        ledger = Ledger(retries.grant_all_but_one)
         ledger.open("r", budget, FOREVER)
         answered, spent = run_in_turn(trial, ledger, "r", ["r.0"], -1)
         whole += answered
--- a/test/models/retry_model.py
+++ b/test/models/retry_model.py
@@ -11,7 +11,7 @@
 
 from minicheck import Protocol
 
-from whinwinch.retries import Ledger, Situation
+from whinwinch.retries import GrantContext, Ledger
 
 ROOT = "r"
 FOREVER = 1.0
@@ -102,7 +102,7 @@
     ledger = kind(policy=grant_some)
     for attempt, held, closed in book.holdings:
         ledger.open(attempt, held, FOREVER)
-        ledger._holdings[attempt].closed = closed
+        ledger._budgets[attempt].closed = closed
     for child, holder, retries in book.grants:
         grant = ledger._grants
         grant[child] = make_grant(holder, retries)
@@ -110,14 +110,14 @@
     return ledger
 
 
-def grant_some(situation: Situation):
+def grant_some(context: GrantContext):
     """Grant half rounded up, so that the lowest daemon gets something."""
-    return (situation.held + 1) // 2
+    return (context.remaining + 1) // 2
 
 
 def make_grant(holder, retries):
     """Return a grant as the ledger keeps it."""
-    ledger = Ledger(policy=lambda situation: retries)
+    ledger = Ledger(policy=lambda context: retries)
     ledger.open(holder, retries, FOREVER)
     ledger.grant(holder, "child")
     return ledger._grants["child"]
@@ -126,8 +126,8 @@
 def close_book(ledger):
     """Return a ledger as a book."""
     holdings = tuple(
-        (attempt, holding.remaining, holding.closed)
-        for attempt, holding in sorted(ledger._holdings.items())
+        (attempt, budget.remaining, budget.closed)
+        for attempt, budget in sorted(ledger._budgets.items())
     )
     grants = tuple(
         (child, grant.holder, grant.retries)
@@ -221,7 +221,7 @@
     child = f"{holder}.{number}"
     called, granted = operate(options.ledger, book, "grant", holder, child)
     yield "call", called, Call(child, granted, state.incarnation), 0
-    taken, success = operate(options.ledger, book, "take", holder)
+    taken, success = operate(options.ledger, book, "try_spend", holder)
     if number and success:
         called, granted = operate(options.ledger, taken, "grant", holder, child)
         yield "retry", called, Call(child, granted, state.incarnation), 1
@@ -237,7 +237,7 @@
         )
         yield f"entry: {label}", following
     for message in sort_traffic(state.net).answers:
-        book, _ = operate(options.ledger, state.entry, "give_back", *message[:2])
+        book, _ = operate(options.ledger, state.entry, "return_unused", *message[:2])
         yield "entry: answer", state._replace(entry=book)
 
 
@@ -247,7 +247,7 @@
     for message in traffic.requests:
         yield "middle: request", deliver(state, message, options)
     for message in traffic.below:
-        book, _ = operate(options.ledger, state.middle, "give_back", *message[:2])
+        book, _ = operate(options.ledger, state.middle, "return_unused", *message[:2])
         yield "middle: answer", state._replace(middle=book)
     # Its backend server may call on for any request it was ever given, also
     # after the daemon beside it has restarted or answered.
--- a/test/models/test_drain_model.py
+++ b/test/models/test_drain_model.py
@@ -7,7 +7,7 @@
 from test.models import drain_model
 from test.models.drain_model import Options
 from whinwinch import lifecycle
-from whinwinch.lifecycle import Phase, Way
+from whinwinch.lifecycle import Direction, Phase
 
 UNCUT = "a planned stop cuts off no request in flight"
 NO_NEW_WORK = "a leaving backend server receives no new work"
@@ -19,16 +19,16 @@
 MUTANT_STATES = 12_000
 
 
-def admit_always(life, way):
+def admit_always(life, direction):
     return life.phase is not Phase.STOPPED
 
 
-def admit_nothing_when_leaving(life, way):
+def admit_nothing_when_leaving(life, direction):
     return not lifecycle.is_leaving(life)
 
 
-def admit_inward_until_the_daemon_leaves(life, way):
-    return life.phase is Phase.SERVING or way is Way.OUTWARD
+def admit_inward_until_the_daemon_leaves(life, direction):
+    return life.phase is Phase.SERVING or direction is Direction.OUTWARD
 
 
 def stop_at_once(life, now, flight):
--- a/test/models/test_ledger_machine.py
+++ b/test/models/test_ledger_machine.py
@@ -67,7 +67,7 @@
         node = self.pick(number)
         if node.depth == DEPTH:
             return
-        if retry and not node.ledger.take(node.name):
+        if retry and not node.ledger.try_spend(node.name):
             return
         self.retries += retry
         self.add_child(node)
@@ -101,7 +101,7 @@
         if node.parent is None or node.reply is None:
             return
         for _ in range(copies):
-            node.parent.ledger.give_back(node.name, node.reply)
+            node.parent.ledger.return_unused(node.name, node.reply)
 
     @rule(number=st.integers(0, 10**6))
     def deliver_request_again(self, number):
--- a/test/models/test_retry_model.py
+++ b/test/models/test_retry_model.py
@@ -18,25 +18,25 @@
 class Trusting(Ledger):
     """Takes each answer at its word, doubled ones too."""
 
-    def give_back(self, child, unused):
+    def return_unused(self, child, unused):
         grant = self._grants.get(child)
         if grant and self._find_open(grant.holder):
-            self._holdings[grant.holder].remaining += unused
+            self._budgets[grant.holder].remaining += unused
 
 
 class Reopening(Ledger):
     """Opens an attempt again when its message comes again."""
 
     def open(self, attempt, granted, expires):
-        self._holdings.pop(attempt, None)
+        self._budgets.pop(attempt, None)
         return super().open(attempt, granted, expires)
 
 
 class Generous(Ledger):
     """Lets an attempt that it does not know make a retry."""
 
-    def take(self, attempt):
-        return super().take(attempt) or attempt not in self._holdings
+    def try_spend(self, attempt):
+        return super().try_spend(attempt) or attempt not in self._budgets
 
 
 class Copying(Ledger):
@@ -45,7 +45,7 @@
     def grant(self, attempt, child):
         granted = super().grant(attempt, child)
         if granted:
-            self._holdings[attempt].remaining += granted
+            self._budgets[attempt].remaining += granted
         return granted
 
 
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -11,14 +11,14 @@
 
         Without detection both copies would run, and the work would be done twice.
         """
-        recent = attempts.Attempts(retention=60.0)
-        self.assertTrue(recent.note("a", 0.0))
-        self.assertFalse(recent.note("a", 59.0))
+        recent = attempts.AttemptHistory(retention=60.0)
+        self.assertTrue(recent.record("a", 0.0))
+        self.assertFalse(recent.record("a", 59.0))
 
     def test_old_attempts_are_forgotten(self):
-        recent = attempts.Attempts(retention=60.0)
+        recent = attempts.AttemptHistory(retention=60.0)
         for number in range(1000):
-            recent.note(str(number), float(number))
+            recent.record(str(number), float(number))
         self.assertLessEqual(len(recent), 61)
 
 
--- a/test/test_lifecycle.py
+++ b/test/test_lifecycle.py
@@ -3,9 +3,9 @@
 import unittest
 
 from whinwinch import lifecycle
-from whinwinch.lifecycle import Flight, Lifecycle, Phase, Way
+from whinwinch.lifecycle import Direction, InFlight, Lifecycle, Phase
 
-IDLE = Flight(inward=0, outward=0, last_arrival=0.0)
+IDLE = InFlight(inward=0, outward=0, last_arrival=0.0)
 
 
 class LifecycleTest(unittest.TestCase):
@@ -13,8 +13,8 @@
         return lifecycle.begin_leaving(Lifecycle(), now, allowed, last_deadline)
 
     def test_serving_daemon_accepts_all_work(self):
-        for way in Way:
-            self.assertTrue(lifecycle.admits(Lifecycle(), way))
+        for direction in Direction:
+            self.assertTrue(lifecycle.admits(Lifecycle(), direction))
 
     def test_leaving_daemon_accepts_only_calls_for_requests_in_flight(self):
         """An instance is replaced while its backend server processes requests.
@@ -23,28 +23,28 @@
         go through, or these requests would fail.
         """
         leaving = self.leave()
-        self.assertFalse(lifecycle.admits(leaving, Way.ENTRY))
-        self.assertFalse(lifecycle.admits(leaving, Way.INWARD))
-        self.assertTrue(lifecycle.admits(leaving, Way.OUTWARD))
+        self.assertFalse(lifecycle.admits(leaving, Direction.ENTRY))
+        self.assertFalse(lifecycle.admits(leaving, Direction.INWARD))
+        self.assertTrue(lifecycle.admits(leaving, Direction.OUTWARD))
         self.assertTrue(lifecycle.is_leaving(leaving))
 
     def test_daemon_of_a_draining_backend_server_still_serves_as_entry(self):
-        draining = lifecycle.mark_backend(Lifecycle(), True)
-        self.assertFalse(lifecycle.admits(draining, Way.INWARD))
-        self.assertTrue(lifecycle.admits(draining, Way.ENTRY))
+        draining = lifecycle.set_backend_leaving(Lifecycle(), True)
+        self.assertFalse(lifecycle.admits(draining, Direction.INWARD))
+        self.assertTrue(lifecycle.admits(draining, Direction.ENTRY))
         self.assertTrue(lifecycle.is_leaving(draining))
-        resumed = lifecycle.mark_backend(draining, False)
-        self.assertTrue(lifecycle.admits(resumed, Way.INWARD))
+        resumed = lifecycle.set_backend_leaving(draining, False)
+        self.assertTrue(lifecycle.admits(resumed, Direction.INWARD))
 
     def test_stops_when_nothing_is_in_flight_in_either_direction(self):
         leaving = self.leave(last_deadline=125.0)
-        busy = Flight(inward=1, outward=0, last_arrival=90.0)
-        calling = Flight(inward=0, outward=1, last_arrival=90.0)
+        busy = InFlight(inward=1, outward=0, last_arrival=90.0)
+        calling = InFlight(inward=0, outward=1, last_arrival=90.0)
         for flight in (busy, calling):
             self.assertEqual(lifecycle.advance(leaving, 110.0, flight), leaving)
         stopped = lifecycle.advance(leaving, 110.0, IDLE)
         self.assertIs(stopped.phase, Phase.STOPPED)
-        self.assertFalse(lifecycle.admits(stopped, Way.OUTWARD))
+        self.assertFalse(lifecycle.admits(stopped, Direction.OUTWARD))
 
     def test_keeps_running_while_messages_may_still_arrive(self):
         """A caller sent a payout just before it learned that the daemon is leaving.
@@ -66,7 +66,7 @@
         self.assertIs(stopped.phase, Phase.STOPPED)
 
     def test_stop_time_is_limited_by_the_settings_and_the_deadlines(self):
-        busy = Flight(inward=2, outward=1, last_arrival=100.0)
+        busy = InFlight(inward=2, outward=1, last_arrival=100.0)
         by_settings = self.leave(allowed=5.0, last_deadline=1000.0)
         self.assertEqual(by_settings.until, 105.0)
         stopped = lifecycle.advance(by_settings, 105.0, busy)
--- a/test/test_repeats.py
+++ b/test/test_repeats.py
@@ -6,7 +6,7 @@
 from whinwinch import messages, repeats
 from whinwinch.messages import Importance
 
-TERMS = repeats.Terms(0.2, 48.0, 10.0)
+LIMITS = repeats.RepeatLimits(0.2, 48.0, 10.0)
 
 
 def build_request(root, importance=Importance.NORMAL):
@@ -18,21 +18,21 @@
 class Service:
     """Gatekeepers of one service, and the times of the attempts they admitted."""
 
-    def __init__(self, endpoints, terms=TERMS, start=0.0):
-        self.terms = terms
+    def __init__(self, endpoints, limits=LIMITS, start=0.0):
+        self.limits = limits
         self.budgets = [
-            repeats.RepeatBudget(terms, lambda: endpoints, start)
+            repeats.RepeatBudget(limits, lambda: endpoints, start)
             for _ in range(endpoints)
         ]
         self.firsts = []
         self.repeats = []
 
-    def note_first(self, number, now):
-        self.budgets[number % len(self.budgets)].note_first(now)
+    def record_first_attempt(self, number, now):
+        self.budgets[number % len(self.budgets)].record_first_attempt(now)
         self.firsts.append(now)
 
-    def take(self, number, request, now):
-        admitted = self.budgets[number % len(self.budgets)].take(request, now)
+    def try_spend(self, number, request, now):
+        admitted = self.budgets[number % len(self.budgets)].try_spend(request, now)
         if admitted:
             self.repeats.append(now)
         return admitted
@@ -42,14 +42,14 @@
 
     def find_excess(self):
         """Return the largest number of repeats in a window beyond the limit."""
-        window = self.terms.window
+        window = self.limits.window
         excess = []
         for end in [time + 1e-6 for time in self.repeats]:
             firsts = max(
                 self.count(self.firsts, end - window - back, end - back)
                 for back in (0.0, window / 2, window)
             )
-            allowed = self.terms.ratio * firsts + self.terms.slack
+            allowed = self.limits.ratio * firsts + self.limits.slack
             spent = self.count(self.repeats, end - window, end)
             excess.append(spent - allowed)
         return max(excess, default=0.0)
@@ -67,11 +67,11 @@
             now = 20.0
             for number in range(4000):
                 now += draw.expovariate(150.0 if number % 1500 < 900 else 20.0)
-                service.note_first(draw.randrange(99), now)
+                service.record_first_attempt(draw.randrange(99), now)
                 if draw.random() < 0.7:
                     importance = Importance(draw.randrange(4))
                     request = build_request(f"{seed}-{number}", importance)
-                    service.take(draw.randrange(99), request, now)
+                    service.try_spend(draw.randrange(99), request, now)
             self.assertLessEqual(service.find_excess(), 0.0, seed)
             self.assertGreater(len(service.repeats), 400)
 
@@ -84,27 +84,28 @@
         service = Service(3)
         for number in range(2000):
             now = 20.0 + number / 200.0
-            service.note_first(number, now)
+            service.record_first_attempt(number, now)
         admitted = 0
         for number in range(4000):
             now = 30.0 + number / 800.0
-            service.note_first(number, now)
-            admitted += service.take(number, build_request(str(number)), now)
+            service.record_first_attempt(number, now)
+            admitted += service.try_spend(number, build_request(str(number)), now)
         self.assertGreater(admitted, 0.5 * (0.2 * 3000 + 48))
 
     def test_single_loss_under_light_load_is_repeated(self):
-        service = Service(22, TERMS._replace(slack=100.0), start=-100.0)
+        service = Service(22, LIMITS._replace(slack=100.0), start=-100.0)
         admitted = [
-            service.take(n, build_request(str(n)), 50.0 + 5.0 * n) for n in range(20)
+            service.try_spend(n, build_request(str(n)), 50.0 + 5.0 * n)
+            for n in range(20)
         ]
         self.assertTrue(all(admitted))
 
     def test_all_repeats_are_admitted_while_the_budget_suffices(self):
         service = Service(3)
         for number in range(3000):
-            service.note_first(number, 20.0 + number / 300.0)
+            service.record_first_attempt(number, 20.0 + number / 300.0)
         admitted = [
-            service.take(n, build_request(str(n), Importance.LOW), 30.0 + n / 10.0)
+            service.try_spend(n, build_request(str(n), Importance.LOW), 30.0 + n / 10.0)
             for n in range(30)
         ]
         self.assertTrue(all(admitted))
@@ -117,16 +118,16 @@
         """
         service = Service(3)
         for number in range(4000):
-            service.note_first(number, 20.0 + number / 400.0)
+            service.record_first_attempt(number, 20.0 + number / 400.0)
         counts = {importance: [0, 0] for importance in Importance}
         for number in range(4000):
             now = 30.0 + number / 800.0
-            service.note_first(number, now)
+            service.record_first_attempt(number, now)
             importance = Importance(0 if number % 8 else 3)
             request = build_request(str(number), importance)
             tally = counts[importance]
             tally[0] += 1
-            tally[1] += service.take(number, request, now)
+            tally[1] += service.try_spend(number, request, now)
         requested, admitted = counts[Importance.CRITICAL]
         self.assertGreater(admitted, 0.95 * requested)
         requested, admitted = counts[Importance.LOW]
@@ -141,12 +142,14 @@
         """
         service = Service(3)
         for number in range(4000):
-            service.note_first(number, 20.0 + number / 400.0)
+            service.record_first_attempt(number, 20.0 + number / 400.0)
         whole = spent = 0
         for root in range(600):
             now = 30.0 + root / 120.0
             admitted = [
-                service.take(number, build_request(f"root-{root}"), now + number / 50)
+                service.try_spend(
+                    number, build_request(f"root-{root}"), now + number / 50
+                )
                 for number in range(5)
             ]
             whole += all(admitted)
@@ -160,17 +163,17 @@
         If these were not counted, repeats would exceed the operators' limit.
         """
         (budget,) = Service(1).budgets
-        before = budget.find_left(100.0)
+        before = budget.count_remaining(100.0)
         for _ in range(5):
-            budget.note_caused(100.0)
-        self.assertEqual(budget.find_left(100.0), before - 5)
+            budget.record_nested_repeat(100.0)
+        self.assertEqual(budget.count_remaining(100.0), before - 5)
 
     def test_repeat_that_did_not_reach_the_backend_server_is_given_back(self):
         (budget,) = Service(1).budgets
-        before = budget.find_left(100.0)
-        self.assertTrue(budget.take(build_request("x"), 100.0))
-        budget.give_back(100.0)
-        self.assertEqual(budget.find_left(100.0), before)
+        before = budget.count_remaining(100.0)
+        self.assertTrue(budget.try_spend(build_request("x"), 100.0))
+        budget.refund(100.0)
+        self.assertEqual(budget.count_remaining(100.0), before)
 
     def test_restarted_daemon_does_not_get_the_slack_twice(self):
         """All daemons of a service crash and restart during an outage.
@@ -179,8 +182,8 @@
         one window would contain it twice.
         """
         (budget,) = Service(1, start=100.0).budgets
-        self.assertLess(budget.find_left(100.1), 1.0)
-        self.assertGreater(budget.find_left(110.0), 40.0)
+        self.assertLess(budget.count_remaining(100.1), 1.0)
+        self.assertGreater(budget.count_remaining(110.0), 40.0)
 
 
 if __name__ == "__main__":
--- a/test/test_retries.py
+++ b/test/test_retries.py
@@ -106,7 +106,7 @@
     def test_grant_reduces_the_budget_until_it_is_returned_unused(self):
         self.assertEqual(self.ledger.grant("a", "b"), 1)
         self.assertEqual(self.ledger.get_remaining("a"), 2)
-        self.assertEqual(self.ledger.give_back("b", 1), 1)
+        self.assertEqual(self.ledger.return_unused("b", 1), 1)
         self.assertEqual(self.ledger.close("a"), 3)
 
     def test_duplicate_answer_returns_retries_once(self):
@@ -116,13 +116,13 @@
         budget allows.
         """
         self.ledger.grant("a", "b")
-        self.ledger.give_back("b", 2)
-        self.assertEqual(self.ledger.give_back("b", 2), 0)
+        self.ledger.return_unused("b", 2)
+        self.assertEqual(self.ledger.return_unused("b", 2), 0)
         self.assertEqual(self.ledger.get_remaining("a"), 3)
 
     def test_child_returns_no_more_retries_than_it_was_granted(self):
         self.ledger.grant("a", "b")
-        self.ledger.give_back("b", 99)
+        self.ledger.return_unused("b", 99)
         self.assertEqual(self.ledger.get_remaining("a"), 3)
 
     def test_duplicate_request_adds_no_second_budget(self):
@@ -142,11 +142,11 @@
         """
         fresh = retries.Ledger()
         self.assertEqual(fresh.grant("a", "b"), 0)
-        self.assertFalse(fresh.take("a"))
+        self.assertFalse(fresh.try_spend("a"))
         self.assertEqual(fresh.close("a"), 0)
 
     def test_each_retry_is_spent_once(self):
-        spent = [self.ledger.take("a") for _ in range(4)]
+        spent = [self.ledger.try_spend("a") for _ in range(4)]
         self.assertEqual(spent, [True, True, True, False])
 
     def test_expired_attempts_are_forgotten_with_their_children(self):
@@ -154,7 +154,7 @@
         self.assertEqual(self.ledger.expire(9.0), 0)
         self.assertEqual(self.ledger.expire(10.0), 1)
         self.assertEqual(len(self.ledger), 0)
-        self.assertEqual(self.ledger.give_back("b", 2), 0)
+        self.assertEqual(self.ledger.return_unused("b", 2), 0)
 
     def test_the_ledger_stays_within_its_capacity(self):
         ledger = retries.Ledger(capacity=2)
@@ -183,9 +183,9 @@
         ledger = retries.Ledger()
         ledger.open("last", remaining, expires=10.0)
         granted = ledger.grant("last", "refused")
-        ledger.give_back("refused", granted)
+        ledger.return_unused("refused", granted)
         decision = decide(remaining=ledger.get_remaining("last"))
-        return decision.again and ledger.take("last")
+        return decision.again and ledger.try_spend("last")
 
     def test_sequential_calls_are_each_granted_all_retries_but_one(self):
         """A deep chain of calls meets several refusals on its way down.
@@ -196,10 +196,10 @@
         for number in range(300):
             ledger.open(f"a{number}", 3, expires=10.0)
             granted = ledger.grant(f"a{number}", f"c{number}")
-            ledger.give_back(f"c{number}", granted)
+            ledger.return_unused(f"c{number}", granted)
         ledger.open("a", 3, expires=10.0)
         self.assertEqual(ledger.grant("a", "c"), 2)
-        self.assertTrue(ledger.take("a"))
+        self.assertTrue(ledger.try_spend("a"))
 
     def test_concurrent_calls_share_the_retries(self):
         ledger = retries.Ledger()
@@ -208,7 +208,7 @@
             first = ledger.grant(f"a{number}", f"c{number}")
             second = ledger.grant(f"a{number}", f"d{number}")
         self.assertEqual((first, second), (1, 1))
-        self.assertTrue(ledger.take("a299"))
+        self.assertTrue(ledger.try_spend("a299"))
 
     def test_jitter_spreads_requests_that_were_refused_together(self):
         generator = random.Random(1)
--- a/test/test_router.py
+++ b/test/test_router.py
@@ -85,11 +85,11 @@
         self.mesh = Mesh(*script)
         self.levels = levels.LearnedLevels()
         self.ledger = retries.Ledger()
-        self.running = running.Running()
-        self.notes = []
+        self.running = running.RunningAttempts()
+        self.recorded_calls = []
         return router.Router(
             clock=lambda: NOW,
-            places=router.Places(
+            targets=router.AttemptTargets(
                 "own", self.mesh.find_endpoints, lambda: False, None, self.mesh.call
             ),
             find_service=build_spec,
@@ -100,11 +100,11 @@
             running=self.running,
             random=lambda: 0.0,
             key_window=900.0,
-            note=lambda *note: self.notes.append(note),
+            record_call=lambda *call: self.recorded_calls.append(call),
         )
 
     async def route(self, routing, method="GET", path="/books", **fields):
-        incoming = router.Incoming("root-1", "catalog", method, path, **fields)
+        incoming = router.IncomingCall("root-1", "catalog", method, path, **fields)
         return await routing.route_root(incoming)
 
     async def test_completed_call_causes_no_retries(self):
@@ -175,7 +175,7 @@
     async def test_lost_attempt_followed_by_no_endpoint_is_unknown(self):
         routing = self.build(lose)
         endpoints = iter((self.mesh.find_endpoints("catalog"), ()))
-        routing._places = routing._places._replace(
+        routing._targets = routing._targets._replace(
             find_endpoints=lambda service: next(endpoints)
         )
         routed = await self.route(routing)
@@ -214,7 +214,7 @@
 
     async def test_service_without_endpoints_is_refused_with_retry_after(self):
         routed = await self.build(complete).route_root(
-            router.Incoming("root-1", "nowhere", "GET", "/")
+            router.IncomingCall("root-1", "nowhere", "GET", "/")
         )
         self.assertEqual(Reason.NO_ENDPOINT, routed.answer.reason)
         self.assertGreater(routed.answer.retry_after, 0.0)
@@ -249,7 +249,7 @@
         )
         self.ledger.open(parent.attempt, parent.budget, parent.deadline)
         await routing.route_nested(
-            router.Incoming("attempt-1", "catalog", "GET", "/books"), parent
+            router.IncomingCall("attempt-1", "catalog", "GET", "/books"), parent
         )
         sent = self.mesh.sent[0][1]
         self.assertEqual("root-9", sent.root)
@@ -272,15 +272,15 @@
             hanging.set()
             await asyncio.Event().wait()
 
-        routing._places = routing._places._replace(call=hang)
+        routing._targets = routing._targets._replace(call=hang)
         task = asyncio.create_task(self.route(routing))
         await hanging.wait()
-        (attempt,) = routing._ledger._holdings
+        (attempt,) = routing._ledger._budgets
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
         self.assertEqual(0, self.ledger.get_remaining(attempt))
-        self.assertTrue(routing._ledger._holdings[attempt].closed)
+        self.assertTrue(routing._ledger._budgets[attempt].closed)
 
     async def test_call_loop_is_ended(self):
         """Two services call each other in an endless loop.
@@ -300,7 +300,7 @@
             via=("catalog",) * router.MAX_CALL_DEPTH,
         )
         routed = await routing.route_nested(
-            router.Incoming("attempt-1", "catalog", "GET", "/"), parent
+            router.IncomingCall("attempt-1", "catalog", "GET", "/"), parent
         )
         self.assertEqual(Reason.TOO_DEEP, routed.answer.reason)
         self.assertFalse(self.mesh.sent)
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -10,7 +10,7 @@
 from . import (
     configuration,
     control,
-    flight,
+    inflight,
     levels,
     membership,
     messages,
@@ -25,7 +25,7 @@
 )
 from .backends.gatekeeper import Gatekeeper
 from .daemons import frames, links
-from .lifecycle import Way
+from .lifecycle import Direction
 from .logservice import relay, streams
 from .logservice.client import LogClient
 from .operators import access
@@ -44,9 +44,9 @@
     members: membership.Membership
     store: Store
     relay: relay.Relay
-    flights: flight.FlightCounter
+    in_flight: inflight.InFlightCounter
     metrics: metrics.Metrics
-    running: running.Running
+    running: running.RunningAttempts
     ledger: retries.Ledger
     levels: levels.LearnedLevels
     peers: links.Peers
@@ -75,7 +75,7 @@
         configuration.encode_change,
         streams.CONFIGURATION,
     )
-    flights = flight.FlightCounter()
+    in_flight = inflight.InFlightCounter()
     ledger = retries.Ledger()
 
     notes = build_notes(settings, own)
@@ -100,9 +100,9 @@
         members=members,
         store=store,
         relay=config,
-        flights=flights,
+        in_flight=in_flight,
         metrics=counts,
-        running=running.Running(),
+        running=running.RunningAttempts(),
         ledger=ledger,
         levels=levels.LearnedLevels(),
         peers=peers,
@@ -112,7 +112,7 @@
             own,
             members,
             log,
-            flights,
+            in_flight,
             tick,
             counts.count_claim,
             notes,
@@ -175,7 +175,7 @@
         ledger=parts.ledger,
         levels=parts.levels,
         running=parts.running,
-        takes_work=lambda: parts.control.admits(Way.INWARD),
+        takes_work=lambda: parts.control.admits(Direction.INWARD),
         max_body=parts.settings.max_body,
         find_service=lambda name: parts.store.snapshot().find_service(name),
         notes=parts.notes,
@@ -190,8 +190,8 @@
 
     return router.Router(
         clock=parts.loop.time,
-        places=router.Places(
-            own=parts.own,
+        targets=router.AttemptTargets(
+            local_daemon=parts.own,
             find_endpoints=parts.members.find_endpoints,
             has_room=gatekeeper.has_room,
             serve=gatekeeper.serve,
@@ -205,15 +205,15 @@
         running=parts.running,
         random=random.random,
         key_window=parts.settings.key_window,
-        note=build_note(parts),
+        record_call=build_call_recorder(parts),
         notes=parts.notes,
     )
 
 
-def build_note(parts):
+def build_call_recorder(parts):
     """Return the function that counts the end of a call."""
 
-    def note(incoming, routed, seconds):
+    def record_call(incoming, routed, seconds):
         answer = routed.answer
         parts.metrics.note_call(
             incoming.service,
@@ -224,4 +224,4 @@
             routed.retries,
         )
 
-    return note
+    return record_call
--- a/whinwinch/attempts.py
+++ b/whinwinch/attempts.py
@@ -7,7 +7,7 @@
 RETENTION_SECONDS = 60.0
 
 
-class Attempts:
+class AttemptHistory:
     """Remembers recent attempts, so that none is handled twice.
 
     Without this, a late or duplicate message of an attempt that was answered "not
@@ -23,7 +23,7 @@
         self._known = set()
         self._order = collections.deque()
 
-    def note(self, attempt, now):
+    def record(self, attempt, now):
         """Record an attempt; return False if it was already recorded."""
         self._drop_old(now)
         if attempt in self._known:
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -26,7 +26,7 @@
             claimed work ended.
         ledger: `retries.Ledger` of the attempts inside.
         levels: `levels.LearnedLevels` of the daemon.
-        running: `running.Running`.
+        running: `running.RunningAttempts`.
         takes_work: Returns whether new work is taken.
         max_body: Largest answer taken, in bytes.
         find_service: Takes a name, returns its `resources.ServiceSpec`.
@@ -58,7 +58,7 @@
         self._notes = notes
         self._slots = slots.Slots()
         self._client = None
-        self._attempts = attempts.Attempts()
+        self._attempts = attempts.AttemptHistory()
         self._claiming = 0
         self._background = background.Background()
         self.service = ""
@@ -138,7 +138,7 @@
             return Reason.NO_ENDPOINT
         if request.deadline <= now:
             return Reason.DEADLINE
-        if not self._attempts.note(request.attempt, now):
+        if not self._attempts.record(request.attempt, now):
             return Reason.ABANDONED
         return None
 
--- a/whinwinch/backends/guard.py
+++ b/whinwinch/backends/guard.py
@@ -138,7 +138,7 @@
         decision = await self._slots.decide(request, self._find_wait(request))
         if decision.verdict is not gate.Verdict.ADMIT:
             if request.again:
-                self._repeats.give_back(self._loop.time())
+                self._repeats.refund(self._loop.time())
             return self._refuse(request, decision.reason, decision.retry_after)
         return await self._run_admitted(request)
 
@@ -146,11 +146,11 @@
         """Count an attempt as a first or as a repeat; return whether it may go on."""
         now = self._loop.time()
         if request.again:
-            return self._repeats.take(request, now)
+            return self._repeats.try_spend(request, now)
         if request.of_repeat:
-            self._repeats.note_caused(now)
+            self._repeats.record_nested_repeat(now)
         else:
-            self._repeats.note_first(now)
+            self._repeats.record_first_attempt(now)
         return True
 
     def stop(self):
@@ -204,7 +204,7 @@
         finally:
             self.running -= 1
             if request.again and answer is not None and _is_unsent(answer):
-                self._repeats.give_back(self._loop.time())
+                self._repeats.refund(self._loop.time())
             answered = answer is not None and answer.outcome is not Outcome.UNKNOWN
             whole = answer is not None and answer.succeeded
             self._watch.end(request.attempt, answered, whole)
--- a/whinwinch/callers/app.py
+++ b/whinwinch/callers/app.py
@@ -2,7 +2,7 @@
 
 from .. import hints, messages
 from ..messages import Answer, Outcome, Reason
-from ..router import Routed
+from ..router import CallResult
 from . import answers, headers
 
 FULL_PRESSURE = 1.0
@@ -12,7 +12,7 @@
     """Return a coroutine function from a request and its sender to the answer.
 
     Args:
-        route: Coroutine function from an `Incoming` to a `Routed`.
+        route: Coroutine function from an `IncomingCall` to a `CallResult`.
         most: Calls handled at once; what comes beyond is refused at once, where
             it would otherwise fill the memory in a surge.
         count_in_flight: Returns the number of calls being handled.
@@ -42,4 +42,4 @@
         status=503,
         retry_after=hints.choose_retry_after(FULL_PRESSURE, attempt),
     )
-    return Routed(answer, incoming.identifier or attempt, 0)
+    return CallResult(answer, incoming.identifier or attempt, 0)
--- a/whinwinch/callers/headers.py
+++ b/whinwinch/callers/headers.py
@@ -6,7 +6,7 @@
 from ..errors import Finding
 from ..http1.messages import drop_headers, find_header
 from ..messages import Importance
-from ..router import Incoming
+from ..router import IncomingCall
 
 PREFIX = "/services/"
 IDENTIFIER = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
@@ -51,7 +51,7 @@
 class Parsed(NamedTuple):
     """A call as read, and what is wrong with it."""
 
-    incoming: Incoming
+    incoming: IncomingCall
     findings: tuple[Finding, ...]
 
 
@@ -68,7 +68,7 @@
     findings = []
     service, path = _split_path(http.target, findings)
     given = http.headers
-    incoming = Incoming(
+    incoming = IncomingCall(
         identifier=_read_identifier(find_header(given, "x-request-id"), findings),
         service=service,
         method=http.method,
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -22,7 +22,7 @@
         own: Identifier of this daemon, new at every start.
         membership: `membership.Membership`.
         log: `logservice.client.LogClient`.
-        flights: `flight.FlightCounter`.
+        in_flight: `inflight.InFlightCounter`.
         tick: Called at every tick with the loop's time.
         count_claim: Called with the verdict on each claim, as text.
         notes: `recording.Notes` for a trace.
@@ -35,7 +35,7 @@
         own,
         membership,
         log,
-        flights,
+        in_flight,
         tick,
         count_claim,
         notes,
@@ -45,7 +45,7 @@
         self._own = own
         self._membership = membership
         self._log = log
-        self._flights = flights
+        self._in_flight = in_flight
         self._tick = tick
         self._count_claim = count_claim
         self._notes = notes
@@ -82,9 +82,9 @@
         """The daemon's `lifecycle.Phase`."""
         return self._lifecycle.phase
 
-    def admits(self, way):
-        """Return whether work of a `lifecycle.Way` is taken."""
-        return lifecycle.admits(self._lifecycle, way)
+    def admits(self, direction):
+        """Return whether work of a `lifecycle.Direction` is taken."""
+        return lifecycle.admits(self._lifecycle, direction)
 
     async def claim(self, request):
         """Return the log's verdict on a claim."""
@@ -110,7 +110,7 @@
             self._lifecycle,
             now,
             self._settings.stop_grace,
-            self._flights.last_deadline,
+            self._in_flight.last_deadline,
         )
         logging.info("lifecycle phase=leaving until=%.3f", self._lifecycle.until)
         self._notes.phase(self.phase)
@@ -130,7 +130,9 @@
 
     def _advance(self, now):
         before = self.phase
-        self._lifecycle = lifecycle.advance(self._lifecycle, now, self._flights.read())
+        self._lifecycle = lifecycle.advance(
+            self._lifecycle, now, self._in_flight.snapshot()
+        )
         if self.phase is not before:
             logging.info("lifecycle phase=stopped ground=%r", self._lifecycle.ground)
             self._notes.phase(self.phase)
@@ -139,7 +141,7 @@
         """Take an announcement of the backend server."""
         if not self._registry.announce(announcement, self._loop.time()):
             return
-        self._lifecycle = lifecycle.mark_backend(self._lifecycle, False)
+        self._lifecycle = lifecycle.set_backend_leaving(self._lifecycle, False)
         logging.info(
             "backend announced service=%s address=%s slots=%d",
             announcement.service,
@@ -154,7 +156,7 @@
         if not self._registry.withdraw():
             return
         logging.info("backend withdrawn")
-        self._lifecycle = lifecycle.mark_backend(self._lifecycle, True)
+        self._lifecycle = lifecycle.set_backend_leaving(self._lifecycle, True)
         self._publish_membership(self._loop.time())
 
     def _expire_announcement(self, now):
--- a/whinwinch/entrances.py
+++ b/whinwinch/entrances.py
@@ -19,7 +19,7 @@
 from .callers import app as caller_app
 from .daemons import exchange, frames, gossip, peer_pb2
 from .http1 import server as http_server
-from .lifecycle import Phase, Way
+from .lifecycle import Direction, Phase
 from .messages import Answer, Outcome, Reason, build_failure
 from .operators import access, api
 from .operators import server as admin_server
@@ -42,11 +42,11 @@
     """Return the `exchange.Exchange` that takes calls and gossip of daemons."""
 
     async def serve_call(request):
-        parts.flights.start(Way.INWARD, parts.loop.time(), request.deadline)
+        parts.in_flight.start(Direction.INWARD, parts.loop.time(), request.deadline)
         try:
             return await gatekeeper.serve(request)
         finally:
-            parts.flights.end(Way.INWARD)
+            parts.in_flight.end(Direction.INWARD)
 
     async def answer_gossip(data):
         try:
@@ -79,13 +79,13 @@
     calls = caller_app.build_handler(
         build_root_route(parts, route),
         settings.max_requests,
-        lambda: parts.flights.count(Way.ENTRY),
+        lambda: parts.in_flight.count(Direction.ENTRY),
         parts.metrics.count_event,
     )
     outgoing = caller_app.build_handler(
         build_outgoing_route(parts, route),
         settings.max_requests,
-        lambda: parts.flights.count(Way.OUTWARD),
+        lambda: parts.in_flight.count(Direction.OUTWARD),
         parts.metrics.count_event,
     )
     public = build_dispatcher(calls, build_probes(parts))
@@ -148,11 +148,11 @@
         reason = find_obstacle(parts)
         if reason is not None:
             return refuse_entry(incoming, reason)
-        parts.flights.start(Way.ENTRY, now, now + (incoming.timeout or 0.0))
+        parts.in_flight.start(Direction.ENTRY, now, now + (incoming.timeout or 0.0))
         try:
             return await route.route_root(incoming)
         finally:
-            parts.flights.end(Way.ENTRY)
+            parts.in_flight.end(Direction.ENTRY)
 
     return route_root
 
@@ -162,7 +162,7 @@
 
     async def route_outgoing(incoming):
         now = parts.loop.time()
-        parts.flights.start(Way.OUTWARD, now, now + (incoming.timeout or 0.0))
+        parts.in_flight.start(Direction.OUTWARD, now, now + (incoming.timeout or 0.0))
         try:
             if not parts.store.ready:
                 return refuse_entry(incoming, Reason.NOT_READY)
@@ -174,7 +174,7 @@
             budget = 0 if incoming.identifier else None
             return await route.route_root(incoming, budget)
         finally:
-            parts.flights.end(Way.OUTWARD)
+            parts.in_flight.end(Direction.OUTWARD)
 
     return route_outgoing
 
@@ -186,7 +186,7 @@
     not be repeated. Were it to serve them all the same, a payout sent again
     through it would not be claimed, and be paid twice.
     """
-    if not parts.control.admits(Way.ENTRY):
+    if not parts.control.admits(Direction.ENTRY):
         return Reason.LEAVING
     return None if parts.store.ready else Reason.NOT_READY
 
@@ -214,7 +214,7 @@
             "entry",
         )
     )
-    return router.Routed(answer, incoming.identifier or attempt, 0)
+    return router.CallResult(answer, incoming.identifier or attempt, 0)
 
 
 def build_readiness(parts):
@@ -306,7 +306,7 @@
         "region": parts.settings.region,
         "backend": announcement._asdict() if announcement else None,
         "load": gatekeeper.load()._asdict(),
-        "in_flight": parts.flights.read()._asdict(),
+        "in_flight": parts.in_flight.snapshot()._asdict(),
         "members": len(parts.members),
         "configuration": {
             "version": view.version,
--- a/whinwinch/flight.py
+++ b/whinwinch/inflight.py
@@ -1,9 +1,9 @@
 """Counts of the work that a daemon has in flight in each direction."""
 
-from .lifecycle import Flight, Way
+from .lifecycle import Direction, InFlight
 
 
-class FlightCounter:
+class InFlightCounter:
     """Counts the requests and calls in flight.
 
     A planned stop waits for these. A request that is not counted would be cut off,
@@ -11,36 +11,36 @@
     """
 
     def __init__(self):
-        self._counts = dict.fromkeys(Way, 0)
+        self._counts = dict.fromkeys(Direction, 0)
         self._last_arrival = 0.0
         self._last_deadline = 0.0
 
-    def start(self, way, now, deadline):
+    def start(self, direction, now, deadline):
         """Record the arrival of a request or call.
 
         Args:
-            way: `Way` in which it arrived.
+            direction: `Direction` in which it arrived.
             now: Time of the event loop, in seconds.
             deadline: Its deadline, event loop time.
         """
-        self._counts[way] += 1
+        self._counts[direction] += 1
         self._last_arrival = now
         self._last_deadline = max(self._last_deadline, deadline)
 
-    def end(self, way):
+    def end(self, direction):
         """Record that a request or call was answered."""
-        self._counts[way] -= 1
+        self._counts[direction] -= 1
 
-    def count(self, way):
+    def count(self, direction):
         """Return the number of requests or calls in flight in one direction."""
-        return self._counts[way]
+        return self._counts[direction]
 
     @property
     def last_deadline(self):
         """The latest deadline of any arrival so far, event loop time in seconds."""
         return self._last_deadline
 
-    def read(self):
-        """Return the present counts as a `Flight`."""
-        inward = self._counts[Way.ENTRY] + self._counts[Way.INWARD]
-        return Flight(inward, self._counts[Way.OUTWARD], self._last_arrival)
+    def snapshot(self):
+        """Return the present counts as an `InFlight`."""
+        inward = self._counts[Direction.ENTRY] + self._counts[Direction.INWARD]
+        return InFlight(inward, self._counts[Direction.OUTWARD], self._last_arrival)
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -94,10 +94,10 @@
         place: `Place`.
         backend_address: `settings.Address` of the backend server.
         dialect: `backends.guard.Dialect`.
-        repeat_terms: `repeats.Terms` of all services.
+        repeat_limits: `repeats.RepeatLimits` of all services.
     """
 
-    def __init__(self, place, backend_address, dialect, repeat_terms):
+    def __init__(self, place, backend_address, dialect, repeat_limits):
         self._loop = asyncio.get_running_loop()
         self.place = place
         self.table = routes.RouteTable()
@@ -112,7 +112,7 @@
             backend_address,
             dialect,
             repeats.RepeatBudget(
-                repeat_terms, self._count_endpoints, self._loop.time()
+                repeat_limits, self._count_endpoints, self._loop.time()
             ),
             self._find_wait,
             self.graph,
--- a/whinwinch/lifecycle.py
+++ b/whinwinch/lifecycle.py
@@ -37,7 +37,7 @@
     STOPPED = "stopped"
 
 
-class Way(enum.Enum):
+class Direction(enum.Enum):
     """Directions in which work reaches a daemon.
 
     ENTRY is a request of an outside caller, INWARD one for the daemon's local
@@ -67,7 +67,7 @@
     ground: str = ""
 
 
-class Flight(NamedTuple):
+class InFlight(NamedTuple):
     """Number of requests and calls that a daemon has in flight.
 
     Attributes:
@@ -103,12 +103,12 @@
     return lifecycle._replace(phase=Phase.LEAVING, since=now, until=until)
 
 
-def mark_backend(lifecycle, leaving):
+def set_backend_leaving(lifecycle, leaving):
     """Record whether the backend server itself has announced that it drains."""
     return lifecycle._replace(backend_leaving=leaving)
 
 
-def admits(lifecycle, way):
+def admits(lifecycle, direction):
     """Return whether new work is accepted; refused work is not run.
 
     Calls of the local backend server are accepted until the daemon stops: they belong
@@ -116,15 +116,15 @@
 
     Args:
         lifecycle: The present `Lifecycle`.
-        way: `Way` in which the work arrived.
+        direction: `Direction` in which the work arrived.
     """
     if lifecycle.phase is Phase.STOPPED:
         return False
-    if way is Way.OUTWARD:
+    if direction is Direction.OUTWARD:
         return True
     if lifecycle.phase is Phase.LEAVING:
         return False
-    return way is Way.ENTRY or not lifecycle.backend_leaving
+    return direction is Direction.ENTRY or not lifecycle.backend_leaving
 
 
 def is_leaving(lifecycle):
@@ -138,7 +138,7 @@
     Args:
         lifecycle: The present `Lifecycle`.
         now: Event loop time, in seconds.
-        flight: `Flight` at this time.
+        flight: `InFlight` at this time.
 
     Returns:
         The new `Lifecycle`; the same one if nothing changes.
--- a/whinwinch/platform/settings.py
+++ b/whinwinch/platform/settings.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from ..errors import Finding, UserError, raise_findings
-from ..repeats import Terms
+from ..repeats import RepeatLimits
 from ..settings import Address
 from .values import parse_duration, parse_first_port, parse_place
 
@@ -33,7 +33,7 @@
         announcements: Where the backend server announces itself.
         metrics: Port of the metrics page, at the address of `daemons`; 0 for none.
         store: Address of the platform's store.
-        repeats: Repeats that operators allow, a `repeats.Terms`.
+        repeats: Repeats that operators allow, a `repeats.RepeatLimits`.
         drain: Time after which a leaving backend server gets nothing more.
         stop_grace: Time from the signal to stop until the process is killed.
     """
@@ -49,7 +49,7 @@
     announcements: Address
     metrics: int
     store: Address
-    repeats: Terms
+    repeats: RepeatLimits
     drain: float
     stop_grace: float
 
@@ -121,5 +121,5 @@
         except ValueError as error:
             findings.append(Finding(field.name, str(error)))
     raise_findings("wrong settings", findings)
-    repeats = Terms(*(values.pop(name) for name in Terms._fields))
+    repeats = RepeatLimits(*(values.pop(name) for name in RepeatLimits._fields))
     return InstanceSettings(**values, repeats=repeats)
--- a/whinwinch/repeats.py
+++ b/whinwinch/repeats.py
@@ -40,7 +40,7 @@
 TOP_SPENDING_SHARE = 0.2
 
 
-class Terms(NamedTuple):
+class RepeatLimits(NamedTuple):
     """Limits on repeats, set by operators.
 
     Attributes:
@@ -90,27 +90,27 @@
     """Budget of repeats that one gatekeeper admits.
 
     Args:
-        terms: `Terms`.
+        limits: `RepeatLimits`.
         count_endpoints: Function that returns the number of endpoints of the
             service, among which the slack is divided.
         now: Time of the event loop, in seconds.
     """
 
-    def __init__(self, terms, count_endpoints, now):
-        self._terms = terms
+    def __init__(self, limits, count_endpoints, now):
+        self._limits = limits
         self._count_endpoints = count_endpoints
         self._start = now
-        step = terms.window / STEPS_PER_WINDOW
+        step = limits.window / STEPS_PER_WINDOW
         self._firsts = StepCounter(step, now)
         self._repeats = StepCounter(step, now)
         self._demand = [0.0] * len(messages.Importance)
         self._demand_time = now
 
-    def note_first(self, now):
+    def record_first_attempt(self, now):
         """Count the first attempt of a request."""
         self._firsts.add(now)
 
-    def note_caused(self, now):
+    def record_nested_repeat(self, now):
         """Count a nested call made by an attempt that is itself a repeat.
 
         The call counts as a repeat but is not refused, because the attempt that makes
@@ -118,9 +118,9 @@
         """
         self._repeats.add(now)
 
-    def take(self, request, now):
+    def try_spend(self, request, now):
         """Return whether a repeat is admitted, and count it if so."""
-        remaining = self.find_left(now)
+        remaining = self.count_remaining(now)
         self._record_demand(request, now)
         if remaining < 1.0:
             return False
@@ -129,11 +129,11 @@
         self._repeats.add(now)
         return True
 
-    def give_back(self, now):
+    def refund(self, now):
         """Uncount an admitted repeat that did not reach the backend server."""
         self._repeats.add(now, -1)
 
-    def find_left(self, now):
+    def count_remaining(self, now):
         """Return how many more repeats may be admitted in this window."""
         self._firsts.advance(now)
         self._repeats.advance(now)
@@ -144,12 +144,12 @@
             ),
             self._firsts.sum(STEPS_PER_WINDOW, 2 * STEPS_PER_WINDOW),
         )
-        terms = self._terms
+        limits = self._limits
         # A daemon that restarted less than a window ago does not know how many
         # repeats it admitted before, so it gets only part of the slack.
-        observed_share = min(1.0, (now - self._start) / terms.window)
-        slack = observed_share * terms.slack / max(1, self._count_endpoints())
-        allowed = USABLE_SHARE * (terms.ratio * firsts + slack)
+        observed_share = min(1.0, (now - self._start) / limits.window)
+        slack = observed_share * limits.slack / max(1, self._count_endpoints())
+        allowed = USABLE_SHARE * (limits.ratio * firsts + slack)
         return allowed - self._repeats.sum(0, STEPS_PER_WINDOW + 1)
 
     def _record_demand(self, request, now):
@@ -166,9 +166,9 @@
         """
         # One is subtracted because a single lost request is not a rate.
         rates = [max(0.0, count - 1.0) / DEMAND_DECAY_SECONDS for count in self._demand]
-        supply = remaining / (SPENDING_SHARE * self._terms.window)
+        supply = remaining / (SPENDING_SHARE * self._limits.window)
         top = max((i for i, rate in enumerate(rates) if rate > 0.0), default=0)
         extra = [0.0] * len(rates)
-        extra[top] = remaining / (TOP_SPENDING_SHARE * self._terms.window) - supply
+        extra[top] = remaining / (TOP_SPENDING_SHARE * self._limits.window) - supply
         (level,) = admission.find_levels([(rates, 1)], supply, extra)
         return level
--- a/whinwinch/retries.py
+++ b/whinwinch/retries.py
@@ -88,7 +88,7 @@
     """Decide whether a request is retried after an answer.
 
     This does not spend any retry budget: if the decision is to retry, call
-    `Ledger.take` and give up if that returns False.
+    `Ledger.try_spend` and give up if that returns False.
 
     Args:
         request: The `Request` whose attempt was answered.
@@ -190,41 +190,41 @@
     return answer._replace(retry_after=pause)
 
 
-class Situation(NamedTuple):
+class GrantContext(NamedTuple):
     """Input of a grant policy.
 
     Attributes:
-        held: Retries left in the budget that the grant is taken from.
-        together: Share of this backend server's calls that are made while
+        remaining: Retries left in the budget that the grant is taken from.
+        concurrent_share: Share of this backend server's calls that are made while
             another call of the same request is in flight.
     """
 
-    held: int
-    together: float
+    remaining: int
+    concurrent_share: float
 
 
-def grant_most(situation):
+def grant_all_but_one(context):
     """Grant a child all retries but one, and the whole budget of one or two.
 
     Granted retries are lost if the child's answer is lost; the one kept back pays for
     retrying that call. The last two are granted whole because refusals, whose answers
     return unused retries, are far more frequent than lost answers.
     """
-    if situation.held > MAX_WHOLE_GRANT:
-        return situation.held - 1
-    return situation.held
+    if context.remaining > MAX_WHOLE_GRANT:
+        return context.remaining - 1
+    return context.remaining
 
 
-def grant_half(situation):
+def grant_half(context):
     """Grant a child half of the remaining retries, rounded down.
 
     Where calls are made concurrently, the retries kept back can pay for whichever
     call is refused first, while granted ones serve a single branch.
     """
-    return situation.held // 2
+    return context.remaining // 2
 
 
-def grant_by_concurrency(situation):
+def grant_by_concurrency(context):
     """Grant most retries where calls are sequential, and half otherwise.
 
     With sequential calls little is gained by keeping retries back: each child returns
@@ -232,9 +232,9 @@
     leave the last hops a single retry whatever the root's budget. With concurrent
     calls, granting most to the first call would leave none for the others.
     """
-    if situation.together < CONCURRENT_SHARE_THRESHOLD:
-        return grant_most(situation)
-    return grant_half(situation)
+    if context.concurrent_share < CONCURRENT_SHARE_THRESHOLD:
+        return grant_all_but_one(context)
+    return grant_half(context)
 
 
 class AttemptBudget:
@@ -277,14 +277,14 @@
     bound.
 
     Args:
-        policy: Function from a `Situation` to the retries granted to a new child.
+        policy: Function from a `GrantContext` to the retries granted to a new child.
         capacity: Maximum number of attempts tracked.
     """
 
     def __init__(self, policy=grant_by_concurrency, capacity=MAX_TRACKED_ATTEMPTS):
         self._policy = policy
         self._capacity = capacity
-        self._holdings = {}
+        self._budgets = {}
         self._children = {}
         self._grants = {}
         self._expiry = []
@@ -293,7 +293,7 @@
         self._concurrent_share = 0.0
 
     def __len__(self):
-        return len(self._holdings)
+        return len(self._budgets)
 
     def open(self, attempt, granted, expires):
         """Start tracking the budget of an attempt.
@@ -308,9 +308,9 @@
         Returns:
             Whether the attempt is new and is now tracked.
         """
-        if attempt in self._holdings or len(self._holdings) >= self._capacity:
+        if attempt in self._budgets or len(self._budgets) >= self._capacity:
             return False
-        self._holdings[attempt] = AttemptBudget(max(0, granted), expires)
+        self._budgets[attempt] = AttemptBudget(max(0, granted), expires)
         heapq.heappush(self._expiry, (expires, attempt))
         return True
 
@@ -333,8 +333,8 @@
         if budget is None or child in self._grants:
             return 0
         self._record_concurrency(budget.unanswered > 0)
-        situation = Situation(budget.remaining, self._concurrent_share)
-        wanted = self._policy(situation)
+        context = GrantContext(budget.remaining, self._concurrent_share)
+        wanted = self._policy(context)
         retries = min(budget.remaining, wanted)
         budget.remaining -= retries
         budget.unanswered += 1
@@ -342,7 +342,7 @@
         self._children.setdefault(attempt, []).append(child)
         return retries
 
-    def give_back(self, child, unused):
+    def return_unused(self, child, unused):
         """Return a child's unused retries to the budget that granted them.
 
         Each child returns retries once and at most as many as it was granted.
@@ -367,7 +367,7 @@
         budget.remaining += returned
         return returned
 
-    def take(self, attempt):
+    def try_spend(self, attempt):
         """Spend one retry of an attempt's budget.
 
         Returns:
@@ -408,7 +408,7 @@
         while self._expiry and self._expiry[0][0] <= now:
             _, attempt = heapq.heappop(self._expiry)
             self._forget_children(attempt)
-            del self._holdings[attempt]
+            del self._budgets[attempt]
             forgotten += 1
         return forgotten
 
@@ -418,7 +418,7 @@
         )
 
     def _find_open(self, attempt):
-        budget = self._holdings.get(attempt)
+        budget = self._budgets.get(attempt)
         return None if budget is None or budget.closed else budget
 
     def _forget_children(self, attempt):
--- a/whinwinch/router.py
+++ b/whinwinch/router.py
@@ -12,7 +12,7 @@
 MAX_CALL_DEPTH = 32
 
 
-class Incoming(NamedTuple):
+class IncomingCall(NamedTuple):
     """A validated call made by a caller or by the local backend server.
 
     Attributes:
@@ -40,7 +40,7 @@
     body: bytes = b""
 
 
-class Routed(NamedTuple):
+class CallResult(NamedTuple):
     """The result of a call.
 
     Attributes:
@@ -59,11 +59,11 @@
     importance: messages.Importance = messages.Importance.NORMAL
 
 
-class Places(NamedTuple):
+class AttemptTargets(NamedTuple):
     """Destinations of attempts: the local backend server and other daemons.
 
     Attributes:
-        own: Identifier of this daemon.
+        local_daemon: Identifier of this daemon.
         find_endpoints: Function from the name of a service to its endpoints.
         has_room: Function that returns whether the local backend server has a
             free slot.
@@ -73,7 +73,7 @@
             endpoint.
     """
 
-    own: str
+    local_daemon: str
     find_endpoints: object
     has_room: object
     serve: object
@@ -85,25 +85,25 @@
 
     Args:
         clock: Function that returns the event loop time in seconds.
-        places: `Places`.
+        targets: `AttemptTargets`.
         find_service: Function from a service name to its `resources.ServiceSpec`.
         match_call: Function from a service spec, HTTP method and path to the
             `resources.CallSpec`.
         placement_state: `placement.Placement`.
         levels: `levels.LearnedLevels`.
         ledger: `retries.Ledger`.
-        running: `running.Running`.
+        running: `running.RunningAttempts`.
         random: Function that returns a float from 0 to 1, for the backoff jitter.
         key_window: Maximum age of an idempotency key in seconds.
-        note: Function that records an `Incoming`, its `Routed` and the seconds that
-            it took.
+        record_call: Function that records an `IncomingCall`, its `CallResult` and
+            the seconds that it took.
         notes: `recording.Notes` that records a trace.
     """
 
     def __init__(
         self,
         clock,
-        places,
+        targets,
         find_service,
         match_call,
         placement_state,
@@ -112,11 +112,11 @@
         running,
         random,
         key_window,
-        note,
+        record_call,
         notes=recording.NOTHING,
     ):
         self._clock = clock
-        self._places = places
+        self._targets = targets
         self._find_service = find_service
         self._match_call = match_call
         self._placement = placement_state
@@ -125,18 +125,18 @@
         self._running = running
         self._random = random
         self._key_window = key_window
-        self._note = note
+        self._record_call = record_call
         self._notes = notes
 
     async def route_root(self, incoming, budget=None):
         """Route a call as a new root request.
 
         Args:
-            incoming: The `Incoming`.
+            incoming: The `IncomingCall`.
             budget: Retries that it may cause, None for the service's retry budget.
 
         Returns:
-            A `Routed`.
+            A `CallResult`.
         """
         spec = self._find_service(incoming.service)
         call = self._match_call(spec, incoming.method, incoming.path)
@@ -170,11 +170,11 @@
         """Route a call that the local backend server makes for a request.
 
         Args:
-            incoming: The `Incoming`.
+            incoming: The `IncomingCall`.
             parent: The `messages.Request` that the backend server is processing.
 
         Returns:
-            A `Routed`.
+            A `CallResult`.
         """
         spec = self._find_service(incoming.service)
         call = self._match_call(spec, incoming.method, incoming.path)
@@ -198,7 +198,7 @@
             body=incoming.body,
         )
         routed = await self._route_and_record(request, incoming, call, parent.attempt)
-        self._running.note_answer(parent.attempt, routed.answer)
+        self._running.record_answer(parent.attempt, routed.answer)
         return routed
 
     async def _route_and_record(self, request, incoming, call, budget_holder):
@@ -208,8 +208,8 @@
         finally:
             unused = self._close_root(request, budget_holder)
         caused = max(0, request.budget - unused)
-        routed = Routed(answer, request.root, caused, call.name, request.importance)
-        self._note(incoming, routed, self._clock() - started)
+        routed = CallResult(answer, request.root, caused, call.name, request.importance)
+        self._record_call(incoming, routed, self._clock() - started)
         return routed
 
     def _close_root(self, request, budget_holder):
@@ -275,10 +275,10 @@
             request: The `messages.Request`.
             tried: Identifiers of the daemons that were already tried.
         """
-        endpoints = self._places.find_endpoints(request.service)
+        endpoints = self._targets.find_endpoints(request.service)
         for endpoint in endpoints:
-            is_local = endpoint.daemon == self._places.own
-            if is_local and endpoint.daemon not in tried and self._places.has_room():
+            is_local = endpoint.daemon == self._targets.local_daemon
+            if is_local and endpoint.daemon not in tried and self._targets.has_room():
                 return placement.Choice(endpoint, "local endpoint has a free slot")
         return self._placement.choose(request, endpoints, self._clock(), tried)
 
@@ -313,9 +313,9 @@
         return answer
 
     async def _serve_or_call(self, endpoint, attempt):
-        if endpoint.daemon == self._places.own:
-            return await self._places.serve(attempt)
-        return await self._places.call(endpoint, attempt)
+        if endpoint.daemon == self._targets.local_daemon:
+            return await self._targets.serve(attempt)
+        return await self._targets.call(endpoint, attempt)
 
     def _decide_retry(self, attempt, answer, budget_holder, tries, choice):
         """Decide on a retry after crediting the retries that an attempt did not use.
@@ -323,12 +323,12 @@
         Returns:
             A `retries.RetryDecision`.
         """
-        self._ledger.give_back(attempt.attempt, answer.unused)
+        self._ledger.return_unused(attempt.attempt, answer.unused)
         remaining = self._ledger.get_remaining(budget_holder)
         decision = retries.decide_retry(
             attempt, answer, remaining, tries - 1, self._clock(), self._random
         )
-        again = decision.again and self._ledger.take(budget_holder)
+        again = decision.again and self._ledger.try_spend(budget_holder)
         self._log_answer(attempt, answer, choice, again, decision.ground)
         return decision._replace(again=again)
 
--- a/whinwinch/running.py
+++ b/whinwinch/running.py
@@ -25,7 +25,7 @@
     retry_after: float = 0.0
 
 
-class Running:
+class RunningAttempts:
     """Attempts that are being processed by the local backend server."""
 
     def __init__(self):
@@ -41,7 +41,7 @@
         """Return the request of an attempt, or None if it is not being processed."""
         return self._requests.get(attempt)
 
-    def note_answer(self, attempt, answer):
+    def record_answer(self, attempt, answer):
         """Record the answer to a nested call of an attempt."""
         nested_calls = self._nested_calls.get(attempt)
         if nested_calls is not None:
