--- a/bench/spreads.py
+++ b/bench/spreads.py
@@ -158,7 +158,7 @@
     def apply_record(record):
         applied = state.apply(record.offset, record.time, record.data)
         kept.add(record)
-        return applied.ground is not configuration.Ground.GAP
+        return applied.ground is not configuration.ApplyReason.GAP
 
     return relay.Relay(apply_record, kept.records_from, lambda: state.offset)
 
--- a/bench/states.py
+++ b/bench/states.py
@@ -92,7 +92,7 @@
         seconds = time_each(lambda e=entries: claims.encode_batch(e), count)
         yield Row("encode", size, seconds / batch, "us/claim")
         yield Row("read and fold", size, fold_claims(batch, count) / batch, "us/claim")
-    for count in (1_000, 5_000, claims.CAPACITY):
+    for count in (1_000, 5_000, claims.MAX_KEYS):
         held = measure_memory(lambda count=count: hold_claims(count))
         yield Row("key remembered", f"{count:,} keys", held / count, "B/key")
 
--- a/test/logservice/test_claimer.py
+++ b/test/logservice/test_claimer.py
@@ -353,7 +353,7 @@
         self.assertIn(claims.Release(key, "a1", "g1"), self.read_all())
 
     def test_a_stale_key_is_refused(self):
-        old = claims.make_key(START - claims.WINDOW - 5, 1)
+        old = claims.make_key(START - claims.KEY_WINDOW - 5, 1)
         self.assertIs(self.claim(self.start(), old).verdict, Verdict.STALE)
         self.assertIs(self.claim(self.start(), "k").verdict, Verdict.STALE)
 
--- a/test/models/claim_model.py
+++ b/test/models/claim_model.py
@@ -16,7 +16,7 @@
 
 START = 1_800_000_000
 WINDOW = 2.0
-AHEAD = 0.5
+MAX_CLOCK_SKEW = 0.5
 RETENTION = 2
 LAST_TICK = 4
 KEY_TICK = 1
@@ -142,7 +142,9 @@
         own: The claim.
         confirmed: Whether the gap, if any, was noticed before the append.
     """
-    state = kind(window=WINDOW, ahead=AHEAD, retention=float(RETENTION))
+    state = kind(
+        window=WINDOW, max_clock_skew=MAX_CLOCK_SKEW, retention=float(RETENTION)
+    )
     state.skip_to(start)
     for offset, record in enumerate(log[start:], start):
         data = claims.encode_batch([record.entry]) if record.entry else b""
@@ -150,7 +152,7 @@
         state.apply(offset, time, data)
         if confirmed and is_claim_of(record, own):
             state.confirm_retention(time, state.skips)
-    return state.judge(own).verdict
+    return state.get_verdict(own).verdict
 
 
 def is_claim_of(record, own):
--- a/test/models/configuration_model.py
+++ b/test/models/configuration_model.py
@@ -13,7 +13,7 @@
 from minicheck import Protocol
 
 from whinwinch import configuration
-from whinwinch.configuration import Change, Configuration, Ground
+from whinwinch.configuration import ApplyReason, Change, Configuration
 
 KIND = "service"
 NAME = "royalties"
@@ -142,7 +142,7 @@
     accepted = []
     for offset, record in enumerate(log):
         applied = load(kind, data).apply(offset, float(offset), record)
-        if applied.ground is Ground.ACCEPTED:
+        if applied.ground is ApplyReason.ACCEPTED:
             accepted.append(applied.change)
         data = follow(kind, data, offset, record)
     return tuple(accepted)
--- a/test/models/test_claim_machine.py
+++ b/test/models/test_claim_machine.py
@@ -16,7 +16,7 @@
 
 START = 1_800_000_000.0
 WINDOW = 10.0
-AHEAD = 3.0
+MAX_CLOCK_SKEW = 3.0
 
 # Shorter than the window, so that records are gone while they still matter.
 RETENTION = 6.0
@@ -43,7 +43,7 @@
     kind = Claims
 
     def make_reader(self):
-        return self.kind(WINDOW, AHEAD, retention=RETENTION)
+        return self.kind(WINDOW, MAX_CLOCK_SKEW, retention=RETENTION)
 
     def append(self, entry):
         self.log.append((self.now, claims.encode_batch([entry])))
@@ -113,7 +113,7 @@
     def run_winners(self, number):
         reader = self.readers[number % len(self.readers)]
         for entry in sorted(self.asked - self.released):
-            if reader.judge(entry).verdict is Verdict.WON:
+            if reader.get_verdict(entry).verdict is Verdict.WON:
                 earlier = self.ran.setdefault(entry.key, entry)
                 assert earlier == entry
 
@@ -124,9 +124,9 @@
             if reader.next != whole.next:
                 continue
             for entry in self.asked:
-                verdict = reader.judge(entry)
+                verdict = reader.get_verdict(entry)
                 if verdict.verdict is not Verdict.GAP:
-                    assert verdict == whole.judge(entry)
+                    assert verdict == whole.get_verdict(entry)
 
 
 class Gapless(Claims):
--- a/test/models/test_claim_model.py
+++ b/test/models/test_claim_model.py
@@ -28,12 +28,12 @@
 class Inheriting(Claims):
     """Lets a restarted gatekeeper go on with the claim of the one before."""
 
-    def judge(self, claim):
+    def get_verdict(self, claim):
         for identity in ("g1", "g1-again"):
-            verdict = super().judge(claim._replace(incarnation=identity))
+            verdict = super().get_verdict(claim._replace(incarnation=identity))
             if claim.attempt == "a" and verdict.verdict is Verdict.WON:
                 return verdict
-        return super().judge(claim)
+        return super().get_verdict(claim)
 
 
 class Reopening(Claims):
--- a/test/models/test_configuration_model.py
+++ b/test/models/test_configuration_model.py
@@ -30,7 +30,7 @@
 class Forgetful(Configuration):
     """Remembers no change identifiers."""
 
-    def _remember(self, change, accepted, version):
+    def _record_decision(self, change, accepted, version):
         pass
 
 
--- a/test/operators/test_api.py
+++ b/test/operators/test_api.py
@@ -260,7 +260,7 @@
     def test_too_old_a_version(self):
         """A watcher comes back with a version whose changes are forgotten."""
         self.put()
-        for number in range(configuration.HISTORY):
+        for number in range(configuration.MAX_HISTORY):
             change = fakes.make_change("other", 0, {}, f"c{number}")
             if number:
                 change = change._replace(replaces=number + 1)
--- a/test/operators/test_client.py
+++ b/test/operators/test_client.py
@@ -134,7 +134,7 @@
         events.close()
 
     def test_watch_that_must_list(self):
-        for number in range(configuration.HISTORY + 1):
+        for number in range(configuration.MAX_HISTORY + 1):
             change = fakes.make_change(replaces=number, body={}, change_id=f"c{number}")
             self.store.propose(change, 0)
         with self.assertRaises(client.MustList):
--- a/test/operators/test_store.py
+++ b/test/operators/test_store.py
@@ -101,9 +101,9 @@
 
         It has to be told, or its picture would stay wrong unseen.
         """
-        put_many(self.store, configuration.HISTORY + 1)
+        put_many(self.store, configuration.MAX_HISTORY + 1)
         found = self.store.wait_changes(1, 0)
-        self.assertEqual(len(found), configuration.HISTORY)
+        self.assertEqual(len(found), configuration.MAX_HISTORY)
         with self.assertRaises(store.VersionTooOld):
             self.store.wait_changes(0, 0)
 
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -24,12 +24,12 @@
 
 class VerdictTest(unittest.TestCase):
     def get_verdict(self, state, claim):
-        return state.judge(claim).verdict
+        return state.get_verdict(claim).verdict
 
     def test_the_first_claim_of_a_key_wins(self):
         state = apply_records([FIRST], [SECOND])
         self.assertIs(self.get_verdict(state, FIRST), Verdict.WON)
-        lost = state.judge(SECOND)
+        lost = state.get_verdict(SECOND)
         self.assertEqual(lost[:3], (Verdict.LOST, "a1", False))
 
     def test_a_claim_not_read_yet_is_pending(self):
@@ -75,9 +75,9 @@
 
     def test_the_holder_records_that_it_is_done(self):
         state = apply_records([FIRST], [Done(KEY, "a1", "g1", 201)], [SECOND])
-        self.assertEqual(state.judge(SECOND)[:4], (Verdict.LOST, "a1", True, 201))
+        self.assertEqual(state.get_verdict(SECOND)[:4], (Verdict.LOST, "a1", True, 201))
         other = apply_records([FIRST], [Done(KEY, "a1", "g2", 201)], [SECOND])
-        self.assertFalse(other.judge(SECOND).done)
+        self.assertFalse(other.get_verdict(SECOND).done)
 
     def test_done_work_cannot_be_released(self):
         state = apply_records(
@@ -90,14 +90,14 @@
 
         Earlier claims of its key may have been dropped from the log by then.
         """
-        late = apply_records([FIRST], time=NOW + claims.WINDOW + 1)
+        late = apply_records([FIRST], time=NOW + claims.KEY_WINDOW + 1)
         self.assertIs(self.get_verdict(late, FIRST), Verdict.STALE)
-        early = apply_records([FIRST], time=NOW - claims.AHEAD - 1)
+        early = apply_records([FIRST], time=NOW - claims.MAX_CLOCK_SKEW - 1)
         self.assertIs(self.get_verdict(early, FIRST), Verdict.STALE)
 
     def test_setting_back_the_logs_clock_makes_no_expired_key_valid(self):
         state = apply_records([FIRST])
-        state.apply(1, NOW + claims.WINDOW + 1, b"")
+        state.apply(1, NOW + claims.KEY_WINDOW + 1, b"")
         state.apply(2, NOW, claims.encode_batch([SECOND]))
         self.assertIs(self.get_verdict(state, SECOND), Verdict.STALE)
 
@@ -120,14 +120,14 @@
         state = Claims()
         state.skip_to(5)
         apply_records([FIRST], state=state, start=5)
-        self.assertIs(state.judge(FIRST).verdict, Verdict.GAP)
+        self.assertIs(state.get_verdict(FIRST).verdict, Verdict.GAP)
 
     def test_keys_made_well_after_the_gap_are_decided(self):
         state = Claims()
         state.skip_to(5)
-        state.apply(5, NOW - claims.AHEAD - 1, b"")
+        state.apply(5, NOW - claims.MAX_CLOCK_SKEW - 1, b"")
         apply_records([FIRST], state=state, start=6)
-        self.assertIs(state.judge(FIRST).verdict, Verdict.WON)
+        self.assertIs(state.get_verdict(FIRST).verdict, Verdict.WON)
 
     def test_a_gap_discards_all_state(self):
         """Guards against verdicts from outdated state after records were missed.
@@ -137,7 +137,7 @@
         """
         state = apply_records([FIRST])
         state.skip_to(9)
-        self.assertIs(state.judge(FIRST).verdict, Verdict.GAP)
+        self.assertIs(state.get_verdict(FIRST).verdict, Verdict.GAP)
 
     def test_guaranteed_retention_makes_a_quiet_stream_usable(self):
         """Guards against refusing every key of a service that is rarely called.
@@ -145,21 +145,21 @@
         A service pays once an hour and the log keeps records for less time, so
         all records of its stream have been dropped when the next key arrives.
         """
-        state = Claims(retention=claims.WINDOW + claims.AHEAD + 1)
+        state = Claims(retention=claims.KEY_WINDOW + claims.MAX_CLOCK_SKEW + 1)
         state.skip_to(5)
         skips = state.skips
         apply_records([FIRST], state=state, start=5)
-        self.assertIs(state.judge(FIRST).verdict, Verdict.GAP)
+        self.assertIs(state.get_verdict(FIRST).verdict, Verdict.GAP)
         state.confirm_retention(NOW, skips)
-        self.assertIs(state.judge(FIRST).verdict, Verdict.WON)
+        self.assertIs(state.get_verdict(FIRST).verdict, Verdict.WON)
 
     def test_a_gap_detected_after_the_append_is_not_confirmed(self):
-        state = Claims(retention=claims.WINDOW + claims.AHEAD + 1)
+        state = Claims(retention=claims.KEY_WINDOW + claims.MAX_CLOCK_SKEW + 1)
         skips = state.skips
         state.skip_to(5)
         apply_records([FIRST], state=state, start=5)
         state.confirm_retention(NOW, skips)
-        self.assertIs(state.judge(FIRST).verdict, Verdict.GAP)
+        self.assertIs(state.get_verdict(FIRST).verdict, Verdict.GAP)
 
     def test_keys_evicted_for_capacity_get_gap(self):
         generator = random.Random(2)
@@ -169,13 +169,13 @@
             for number in range(5)
         ]
         apply_records(made, state=state)
-        verdicts = [state.judge(claim).verdict for claim in made]
+        verdicts = [state.get_verdict(claim).verdict for claim in made]
         self.assertEqual(len(state), 3)
         self.assertEqual(verdicts, [Verdict.GAP] * 2 + [Verdict.WON] * 3)
 
     def test_expired_keys_are_dropped(self):
         state = apply_records([FIRST])
-        state.apply(1, NOW + claims.WINDOW + 1, b"")
+        state.apply(1, NOW + claims.KEY_WINDOW + 1, b"")
         self.assertEqual(len(state), 0)
 
 
@@ -190,8 +190,8 @@
 
     def test_invalid_keys_are_refused_before_a_claim(self):
         self.assertEqual(claims.check_key(KEY, NOW), ())
-        old = claims.check_key(KEY, NOW + claims.WINDOW + 1)
-        ahead = claims.check_key(KEY, NOW - claims.AHEAD - 1)
+        old = claims.check_key(KEY, NOW + claims.KEY_WINDOW + 1)
+        ahead = claims.check_key(KEY, NOW - claims.MAX_CLOCK_SKEW - 1)
         for findings in (old, ahead, claims.check_key("payout-1", NOW)):
             self.assertEqual(findings[0].place, "idempotency key")
         self.assertTrue(claims.check_key(str(uuid.uuid4()), NOW))
@@ -235,7 +235,7 @@
         for verdict in set(Verdict) - {Verdict.WON}:
             lost = claims.ClaimVerdict(verdict)
             self.assertFalse(claims.may_run(lost, False, 10.0, 9.0))
-            reported = claims.settle_verdict(lost)
+            reported = claims.get_reported_outcome(lost)
             # An earlier attempt with a key that was valid once may have run.
             possibly_run = (Verdict.LOST, Verdict.STALE, Verdict.GAP)
             expected = Outcome.UNKNOWN if verdict in possibly_run else Outcome.NOT_RUN
--- a/test/test_configuration.py
+++ b/test/test_configuration.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from whinwinch import configuration
-from whinwinch.configuration import Change, Configuration, Ground, TooOld
+from whinwinch.configuration import ApplyReason, Change, Configuration, TooOld
 
 
 class Record(NamedTuple):
@@ -62,7 +62,7 @@
         first = self.write(change(1))
         winner = self.write(change(2, replaces=first.version, body={"n": 2}))
         loser = self.write(change(3, replaces=first.version, body={"n": 3}))
-        self.assertIs(loser.ground, Ground.CONFLICT)
+        self.assertIs(loser.ground, ApplyReason.CONFLICT)
         self.assertEqual(loser.present, winner.version)
         self.assertEqual(self.reader.get("service", "catalog").body, {"n": 2})
 
@@ -75,7 +75,7 @@
         first = self.write(change(1))
         self.write(change(2, replaces=first.version, body=None))
         again = self.write(change(1))
-        self.assertEqual(again[:2], (True, Ground.DOUBLE))
+        self.assertEqual(again[:2], (True, ApplyReason.DUPLICATE))
         self.assertEqual(again.version, first.version)
         self.assertEqual(self.reader.resources(), ())
 
@@ -87,7 +87,7 @@
         self.assertEqual(self.reader.resources(), ())
 
     def test_deleting_a_missing_resource_is_a_conflict(self):
-        self.assertIs(self.write(change(1, body=None)).ground, Ground.CONFLICT)
+        self.assertIs(self.write(change(1, body=None)).ground, ApplyReason.CONFLICT)
 
     def test_malformed_records_are_rejected(self):
         good = json.loads(configuration.encode_change(change(1)))
@@ -95,15 +95,15 @@
         wrong = configuration.encode_record("change", {"change_id": 1})
         other = configuration.encode_record("snapshot", {"resources": 3})
         for data in (b"", b"\xff", b"7", b"[" * 100_000, truncated, wrong, other):
-            self.assertIs(self.write(data).ground, Ground.MALFORMED)
+            self.assertIs(self.write(data).ground, ApplyReason.MALFORMED)
         self.assertTrue(self.write(change(1)).accepted)
 
     def test_readers_move_forward_without_gaps(self):
         self.write(change(1))
         record = self.log.records[0]
-        self.assertIs(self.reader.apply(*record).ground, Ground.READ_BEFORE)
+        self.assertIs(self.reader.apply(*record).ground, ApplyReason.ALREADY_READ)
         ahead = self.reader.apply(5, 1.0, record.data)
-        self.assertIs(ahead.ground, Ground.GAP)
+        self.assertIs(ahead.ground, ApplyReason.GAP)
         self.assertEqual(self.reader.offset, 1)
 
     def test_the_number_of_kept_decisions_is_bounded(self):
@@ -126,11 +126,11 @@
 
     def test_a_watch_that_is_too_old_must_list_again(self):
         version = 0
-        for number in range(configuration.HISTORY + 1):
+        for number in range(configuration.MAX_HISTORY + 1):
             version = self.write(change(number, replaces=version)).version
         self.assertIsInstance(self.reader.changes_since(0), TooOld)
         kept = self.reader.changes_since(self.reader.changes_since(0).oldest)
-        self.assertEqual(len(kept), configuration.HISTORY)
+        self.assertEqual(len(kept), configuration.MAX_HISTORY)
 
 
 class SnapshotTest(unittest.TestCase):
@@ -176,7 +176,7 @@
         late = Configuration()
         late.install(self.reader.encode_snapshot())
         self.log.write(change(1))
-        self.assertIs(late.apply(*self.log.records[3]).ground, Ground.DOUBLE)
+        self.assertIs(late.apply(*self.log.records[3]).ground, ApplyReason.DUPLICATE)
 
     def test_a_snapshot_that_leaves_a_gap_is_skipped(self):
         old = self.reader.encode_snapshot()
@@ -187,7 +187,7 @@
     def test_a_snapshot_that_covers_later_records_is_malformed(self):
         snapshot = self.reader.take_snapshot()._replace(covers=99)
         data = configuration.encode_snapshot(snapshot)
-        self.assertIs(self.reader.apply(2, 1.0, data).ground, Ground.MALFORMED)
+        self.assertIs(self.reader.apply(2, 1.0, data).ground, ApplyReason.MALFORMED)
 
     def test_snapshots_are_due_before_retention_drops_what_they_cover(self):
         def is_due(offset, covered, age):
--- a/test/test_resources.py
+++ b/test/test_resources.py
@@ -108,7 +108,7 @@
         `idempotent`; the call must not count as idempotent.
         """
         document = change_spec(calls=[{"name": "a", "idempotent": "no"}])
-        call = resources.read_resource(document).resource.spec.calls[0]
+        call = resources.parse_resource(document).resource.spec.calls[0]
         self.assertEqual((call.idempotent, call.repeatable), (False, False))
 
     def test_huge_numbers(self):
@@ -132,7 +132,7 @@
         )
     )
     def test_any_json_is_parsed_or_refused(self, document):
-        resources.read_resource(document)
+        resources.parse_resource(document)
         find_problems(document)
 
 
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -51,7 +51,7 @@
     levels: levels.LearnedLevels
     peers: links.Peers
     control: control.Control
-    notes: recording.Notes
+    trace_hooks: recording.TraceHooks
 
 
 def build_parts(settings, loop):
@@ -78,8 +78,8 @@
     in_flight = inflight.InFlightCounter()
     ledger = retries.Ledger()
 
-    notes = build_notes(settings, own)
-    config = build_relay(store, notes)
+    trace_hooks = build_trace_hooks(settings, own)
+    config = build_relay(store, trace_hooks)
     counts = metrics.Metrics()
 
     token = access.choose_peer_token(settings.peer_token)
@@ -115,9 +115,9 @@
             in_flight,
             tick,
             counts.count_claim,
-            notes,
+            trace_hooks,
         ),
-        notes=notes,
+        trace_hooks=trace_hooks,
     )
 
 
@@ -126,27 +126,29 @@
     del address, news
 
 
-def build_notes(settings, own):
+def build_trace_hooks(settings, own):
     """Return the functions that write the trace, if there is to be one."""
     if not settings.trace:
-        return recording.NOTHING
-    return recording.build_notes(own, tracerecords.make_recorder(sys.stdout, time.time))
+        return recording.NO_TRACE_HOOKS
+    return recording.build_trace_hooks(
+        own, tracerecords.make_recorder(sys.stdout, time.time)
+    )
 
 
-def build_relay(store, notes):
+def build_relay(store, trace_hooks):
     """Return the relay that hands configuration records on to peers."""
     kept = relay.RecordStore(find_covered)
 
     def apply_record(record):
         before = store.version
         taken = take_record(record)
-        if notes is not recording.NOTHING and store.version != before:
-            notes.configured(store.version, store.encode_resources())
+        if trace_hooks is not recording.NO_TRACE_HOOKS and store.version != before:
+            trace_hooks.configured(store.version, store.encode_resources())
         return taken
 
     def take_record(record):
         applied = store.apply_record(record.offset, record.time, record.data)
-        if applied.ground is not configuration.Ground.GAP:
+        if applied.ground is not configuration.ApplyReason.GAP:
             kept.add(record)
             return True
         if not store.install_snapshot(record.data):
@@ -178,7 +180,7 @@
         takes_work=lambda: parts.control.admits(Direction.INWARD),
         max_body=parts.settings.max_body,
         find_service=lambda name: parts.store.snapshot().find_service(name),
-        notes=parts.notes,
+        trace_hooks=parts.trace_hooks,
     )
 
 
@@ -206,7 +208,7 @@
         random=random.random,
         key_window=parts.settings.key_window,
         record_call=build_call_recorder(parts),
-        notes=parts.notes,
+        trace_hooks=parts.trace_hooks,
     )
 
 
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -30,7 +30,7 @@
         takes_work: Returns whether new work is taken.
         max_body: Largest answer taken, in bytes.
         find_service: Takes a name, returns its `resources.ServiceSpec`.
-        notes: `recording.Notes` for a trace.
+        trace_hooks: `recording.TraceHooks` for a trace.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         takes_work,
         max_body,
         find_service,
-        notes=recording.NOTHING,
+        trace_hooks=recording.NO_TRACE_HOOKS,
     ):
         self._clock = clock
         self._claim = claim
@@ -55,7 +55,7 @@
         self._takes_work = takes_work
         self._max_body = max_body
         self._find_service = find_service
-        self._notes = notes
+        self._trace_hooks = trace_hooks
         self._slots = slots.Slots()
         self._client = None
         self._attempts = attempts.AttemptHistory()
@@ -99,11 +99,11 @@
             return refused
         decision = await self._decide(request)
         admitted = decision.verdict is gate.Verdict.ADMIT
-        self._notes.admission(request, admitted)
+        self._trace_hooks.admission(request, admitted)
         if admitted:
             return await self._serve_to_the_end(request)
         answer = self._refuse(request, decision)
-        self._notes.answered(answer)
+        self._trace_hooks.answered(answer)
         return answer
 
     async def _decide(self, request):
@@ -125,9 +125,9 @@
         decision = self._levels.refuse_below(request, self._clock())
         if decision is None:
             return None
-        self._notes.admission(request, False)
+        self._trace_hooks.admission(request, False)
         answer = self._refuse(request, decision)._replace(deeper=True)
-        self._notes.answered(answer)
+        self._trace_hooks.answered(answer)
         return answer
 
     def _check(self, request, now):
@@ -161,12 +161,12 @@
             self._slots.leave(request, answer, started)
             if answer is None:
                 # Its caller has hung up: the attempt ends, nobody knows how.
-                self._notes.answered(
+                self._trace_hooks.answered(
                     messages.build_failure(request, Outcome.UNKNOWN, Reason.ABANDONED)
                 )
         below = answer.load.below
         answer = answer._replace(load=self.load(request)._replace(below=below))
-        self._notes.answered(answer)
+        self._trace_hooks.answered(answer)
         return answer
 
     async def _claim_and_run(self, request):
@@ -210,7 +210,7 @@
         self._running.start(request)
         try:
             answer = await client.forward(request, left)
-            self._notes.run(request, answer)
+            self._trace_hooks.run(request, answer)
         finally:
             # Also when the caller has hung up: nothing may stay noted as inside.
             below = self._running.finish(request.attempt)
@@ -257,11 +257,11 @@
 
 def _answer_claim(request, verdict):
     """Return the answer for work that this gatekeeper may not run."""
-    settlement = claims.settle_verdict(verdict)
+    reported = claims.get_reported_outcome(verdict)
     return Answer(
         request.attempt,
-        settlement.outcome,
-        settlement.reason,
+        reported.outcome,
+        reported.reason,
         status=503,
         unused=request.budget,
         retry_after=verdict.retry_after,
--- a/whinwinch/claims.py
+++ b/whinwinch/claims.py
@@ -30,11 +30,11 @@
 # Default number of seconds after its creation during which a key may be claimed
 # and its claims are kept in memory. Long enough for a person to retry after an
 # outage of a few minutes, short compared with the retention of the log.
-WINDOW = 900.0
+KEY_WINDOW = 900.0
 
 # Default number of seconds by which a key's creation time may be later than the
 # log's time, because the clocks of callers and of the log differ.
-AHEAD = 60.0
+MAX_CLOCK_SKEW = 60.0
 
 # Maximum number of attempts tracked per key. When a caller retries more often
 # than this within the window, further attempts with the key are refused.
@@ -42,7 +42,7 @@
 
 # Default maximum number of keys kept by one reader, about 0.7 kB each. When a
 # service has more keys than this in the window, the oldest ones get GAP.
-CAPACITY = 20_000
+MAX_KEYS = 20_000
 
 FORMAT = 1
 KEY_VERSION = 7
@@ -173,7 +173,7 @@
 }
 
 
-def settle_verdict(verdict):
+def get_reported_outcome(verdict):
     """Return the `ReportedOutcome` for a `ClaimVerdict` other than WON.
 
     "Not run" refers to this attempt only. A caller that sent an earlier attempt
@@ -232,7 +232,7 @@
     return (uuid.UUID(key).int >> TIMESTAMP_SHIFT) / MILLISECONDS_PER_SECOND
 
 
-def check_key(key, wall_now, window=WINDOW, ahead=AHEAD):
+def check_key(key, wall_now, window=KEY_WINDOW, max_clock_skew=MAX_CLOCK_SKEW):
     """Check whether a key can be claimed, before a claim is appended.
 
     This avoids appending claims that cannot win. The check uses this instance's
@@ -242,7 +242,7 @@
         key: The caller's idempotency key.
         wall_now: Current wall-clock time of this instance in seconds.
         window: Seconds after its creation during which a key may be claimed.
-        ahead: Seconds by which its creation time may be in the future.
+        max_clock_skew: Seconds by which its creation time may be in the future.
 
     Returns:
         A tuple of `Finding`, empty if the key may be claimed.
@@ -254,8 +254,11 @@
     if made < wall_now - window:
         problem = f"was made more than {window:g} s ago; make a new one"
         return (Finding("idempotency key", problem),)
-    if made > wall_now + ahead:
-        problem = f"is more than {ahead:g} s in the future; correct the caller's clock"
+    if made > wall_now + max_clock_skew:
+        problem = (
+            f"is more than {max_clock_skew:g} s in the future; "
+            "correct the caller's clock"
+        )
         return (Finding("idempotency key", problem),)
     return ()
 
@@ -344,7 +347,7 @@
 
     Args:
         window: Seconds after its creation during which a key may be claimed.
-        ahead: Seconds by which the creation time of a key may be later
+        max_clock_skew: Seconds by which the creation time of a key may be later
             than the log's time.
         capacity: Maximum number of keys kept. Keys evicted to stay within it get
             the verdict GAP, so a flood of keys costs availability, not safety.
@@ -354,13 +357,13 @@
 
     def __init__(
         self,
-        window=WINDOW,
-        ahead=AHEAD,
-        capacity=CAPACITY,
+        window=KEY_WINDOW,
+        max_clock_skew=MAX_CLOCK_SKEW,
+        capacity=MAX_KEYS,
         retention=0.0,
     ):
         self._window = window
-        self._max_clock_skew = ahead
+        self._max_clock_skew = max_clock_skew
         self._capacity = capacity
         self._retention = retention
         self._keys = {}
@@ -450,7 +453,7 @@
         for entry in decode_batch(data).entries:
             self._apply_entry(entry, offset)
 
-    def find_horizon(self, time):
+    def get_cutoff_time(self, time):
         """Return the time before which records no longer affect any verdict.
 
         A reader that starts with a record older than this has complete
@@ -469,7 +472,7 @@
         """
         return made < self._time - self._window
 
-    def judge(self, claim):
+    def get_verdict(self, claim):
         """Return the `ClaimVerdict` on a claim after the records read so far.
 
         Args:
--- a/whinwinch/configuration.py
+++ b/whinwinch/configuration.py
@@ -26,7 +26,7 @@
 
 # Maximum number of accepted changes kept for watches. With 1,600 changes a day, a
 # watch can be disconnected for more than half a day before it must list again.
-HISTORY = 1_000
+MAX_HISTORY = 1_000
 
 # Number of decisions kept to detect duplicate changes, and the seconds for which
 # they are kept by the log's time; a decision is dropped when either is exceeded.
@@ -90,19 +90,19 @@
     changed: float
 
 
-class Ground(enum.Enum):
+class ApplyReason(enum.Enum):
     """Reason why a record was accepted or not."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
-    DOUBLE = "double"
+    DUPLICATE = "double"
     MALFORMED = "malformed"
     SNAPSHOT = "snapshot"
-    READ_BEFORE = "read-before"
+    ALREADY_READ = "read-before"
     GAP = "gap"
 
 
-class Applied(NamedTuple):
+class ApplyResult(NamedTuple):
     """Result of applying one record.
 
     Attributes:
@@ -114,7 +114,7 @@
     """
 
     accepted: bool
-    ground: Ground
+    ground: ApplyReason
     change: Change | None = None
     version: int = 0
     present: int = 0
@@ -354,7 +354,7 @@
         self.snapshot_time = None
         self._resources = {}
         self._decisions = collections.OrderedDict()
-        self._history = collections.deque(maxlen=HISTORY)
+        self._history = collections.deque(maxlen=MAX_HISTORY)
         self._history_start_version = 0
 
     def apply(self, offset, time, data):
@@ -370,12 +370,12 @@
             data: The encoded record.
 
         Returns:
-            The result as `Applied`.
+            The result as `ApplyResult`.
         """
         if offset < self.offset:
-            return Applied(False, Ground.READ_BEFORE)
+            return ApplyResult(False, ApplyReason.ALREADY_READ)
         if offset > self.offset:
-            return Applied(False, Ground.GAP)
+            return ApplyResult(False, ApplyReason.GAP)
         self.offset = offset + 1
         self.time = max(self.time, time)
         if self.snapshot_time is None:
@@ -385,7 +385,7 @@
             return self._apply_change(decoded, offset + 1)
         if isinstance(decoded, Snapshot):
             return self._record_snapshot(decoded, offset)
-        return Applied(False, Ground.MALFORMED)
+        return ApplyResult(False, ApplyReason.MALFORMED)
 
     def resources(self):
         """Return all resources in force, sorted by kind and name."""
@@ -467,18 +467,18 @@
             # The writer appended the change again after a lost answer. If the
             # copy were decided again, a deleted resource could be restored, or a
             # change that was reported as a conflict could take effect later.
-            ground = Ground.DOUBLE
-            return Applied(earlier.accepted, ground, change, earlier.version)
+            ground = ApplyReason.DUPLICATE
+            return ApplyResult(earlier.accepted, ground, change, earlier.version)
         present = self.get(change.kind, change.name)
         current = present.version if present else 0
         accepted = change.replaces == current and not (
             current == 0 and change.body is None
         )
-        self._remember(change, accepted, version)
+        self._record_decision(change, accepted, version)
         if not accepted:
-            return Applied(False, Ground.CONFLICT, change, 0, current)
+            return ApplyResult(False, ApplyReason.CONFLICT, change, 0, current)
         self._apply_accepted(change, version)
-        return Applied(True, Ground.ACCEPTED, change, version, current)
+        return ApplyResult(True, ApplyReason.ACCEPTED, change, version, current)
 
     def _apply_accepted(self, change, version):
         place = (change.kind, change.name)
@@ -488,14 +488,14 @@
         else:
             resource = Resource(*place, version, change.body, change.author, self.time)
             self._resources[place] = resource
-        if len(self._history) == HISTORY:
+        if len(self._history) == MAX_HISTORY:
             self._history_start_version = self._history[0].version
         self.version = version
         self._history.append(
             Event(version, *place, resource, change.change_id, change.author, self.time)
         )
 
-    def _remember(self, change, accepted, version):
+    def _record_decision(self, change, accepted, version):
         decision = Decision(
             change.change_id, accepted, version if accepted else 0, self.time
         )
@@ -510,8 +510,8 @@
     def _record_snapshot(self, snapshot, offset):
         # A snapshot cannot cover records that follow it in the log.
         if snapshot.covers > offset:
-            return Applied(False, Ground.MALFORMED)
+            return ApplyResult(False, ApplyReason.MALFORMED)
         if snapshot.covers > self.snapshot_covers:
             self.snapshot_covers = snapshot.covers
             self.snapshot_time = self.time
-        return Applied(False, Ground.SNAPSHOT)
+        return ApplyResult(False, ApplyReason.SNAPSHOT)
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -25,7 +25,7 @@
         in_flight: `inflight.InFlightCounter`.
         tick: Called at every tick with the loop's time.
         count_claim: Called with the verdict on each claim, as text.
-        notes: `recording.Notes` for a trace.
+        trace_hooks: `recording.TraceHooks` for a trace.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         in_flight,
         tick,
         count_claim,
-        notes,
+        trace_hooks,
     ):
         self._loop = loop
         self._settings = settings
@@ -48,7 +48,7 @@
         self._in_flight = in_flight
         self._tick = tick
         self._count_claim = count_claim
-        self._notes = notes
+        self._trace_hooks = trace_hooks
         self._registry = Registry(settings.lease)
         self._lifecycle = lifecycle.Lifecycle()
         self._claimers = {}
@@ -113,7 +113,7 @@
             self._in_flight.last_deadline,
         )
         logging.info("lifecycle phase=leaving until=%.3f", self._lifecycle.until)
-        self._notes.phase(self.phase)
+        self._trace_hooks.phase(self.phase)
         self._let_go()
         self._publish_membership(now)
 
@@ -135,7 +135,7 @@
         )
         if self.phase is not before:
             logging.info("lifecycle phase=stopped ground=%r", self._lifecycle.ground)
-            self._notes.phase(self.phase)
+            self._trace_hooks.phase(self.phase)
 
     def announce(self, announcement):
         """Take an announcement of the backend server."""
@@ -188,7 +188,7 @@
                     window=self._settings.key_window,
                     retention=self._settings.log_retention,
                 ),
-                note=self._notes.claims,
+                note=self._trace_hooks.claims,
             )
             self._claimers[service] = found
             self._claimer_tasks.add(self._loop.create_task(found.run()))
--- a/whinwinch/logservice/claimer.py
+++ b/whinwinch/logservice/claimer.py
@@ -349,7 +349,7 @@
                 self._tell(entry, self._judge_left(entry))
 
     def _judge_left(self, claim):
-        verdict = self._state.judge(claim)
+        verdict = self._state.get_verdict(claim)
         if verdict.verdict is Verdict.PENDING:
             return ClaimVerdict(Verdict.STALE)
         return verdict
@@ -358,7 +358,7 @@
         for entry in batch:
             if not self._is_awaited(entry):
                 continue
-            verdict = self._state.judge(entry)
+            verdict = self._state.get_verdict(entry)
             if verdict.verdict in (Verdict.WON, Verdict.LOST):
                 self._tell(entry, verdict)
 
@@ -406,18 +406,18 @@
         newest = await self._read_time(end - 1)
         if newest is None:
             return
-        horizon = self._state.find_horizon(newest)
+        cutoff = self._state.get_cutoff_time(newest)
         low = self._state.next
         high = end - 1
         while high - low > PAGE:
             middle = (low + high) // 2
             time = await self._read_time(middle)
-            if time is not None and time >= horizon:
+            if time is not None and time >= cutoff:
                 high = middle
             else:
                 low = middle
         time = await self._read_time(low)
-        if time is not None and time < horizon:
+        if time is not None and time < cutoff:
             self._state.skip_to(low)
 
     async def _read_time(self, offset):
--- a/whinwinch/operators/store.py
+++ b/whinwinch/operators/store.py
@@ -17,7 +17,7 @@
 from absl import logging
 
 from .. import configuration, errors, resources
-from ..configuration import Ground
+from ..configuration import ApplyReason
 from ..logservice import streams
 
 # Entries of the history, which hold no resource bodies.
@@ -219,13 +219,13 @@
             data: Its bytes.
 
         Returns:
-            The `configuration.Applied` that the configuration gave.
+            The `configuration.ApplyResult` that the configuration gave.
         """
         with self._news:
             applied = self._configuration.apply(offset, time, data)
-            if applied.ground is Ground.ACCEPTED:
+            if applied.ground is ApplyReason.ACCEPTED:
                 self._publish(applied.change)
-            if applied.ground in (Ground.ACCEPTED, Ground.CONFLICT):
+            if applied.ground in (ApplyReason.ACCEPTED, ApplyReason.CONFLICT):
                 self._history.append(_make_entry(offset, time, applied, self.version))
             self._settle()
         return applied
@@ -428,7 +428,7 @@
 def _read_service(name, body):
     """Return the specification of an accepted body, as far as it can be read."""
     document = {"kind": resources.KIND_SERVICE, "name": name, "spec": body}
-    reading = resources.read_resource(document)
+    reading = resources.parse_resource(document)
     # A record written past the API, or by another version, may say what this
     # daemon can't read. All daemons take it, or they would disagree on what is
     # in force; the line is how an operator notices.
--- a/whinwinch/recording.py
+++ b/whinwinch/recording.py
@@ -14,7 +14,7 @@
 DIGEST_HEX_DIGITS = 16
 
 
-class Notes(NamedTuple):
+class TraceHooks(NamedTuple):
     """Trace hooks, one function for each kind of event.
 
     Attributes:
@@ -48,11 +48,11 @@
     del event
 
 
-NOTHING = Notes(*[_discard_event] * len(Notes._fields))
+NO_TRACE_HOOKS = TraceHooks(*[_discard_event] * len(TraceHooks._fields))
 
 
-def build_notes(daemon, record):
-    """Return `Notes` that write trace records.
+def build_trace_hooks(daemon, record):
+    """Return `TraceHooks` that write trace records.
 
     Args:
         daemon: Identifier of this daemon.
@@ -134,7 +134,7 @@
     def record_configured(version, content):
         record(tracerecords.Configured(daemon, version, _summarize_body(content)[1]))
 
-    return Notes(
+    return TraceHooks(
         record_root_request,
         record_attempt,
         record_admission,
--- a/whinwinch/resources.py
+++ b/whinwinch/resources.py
@@ -7,7 +7,7 @@
 The constants below are defaults and limits on input.
 
 There are two ways to parse a resource. `check_resource` is strict: it protects
-the API and raises all findings. `read_resource` is lenient: it parses what the
+the API and raises all findings. `parse_resource` is lenient: it parses what the
 log contains and never fails, because a daemon that rejected a record accepted by
 others would act on a different configuration.
 """
@@ -194,13 +194,13 @@
         errors.InputErrors: If there are findings; contains up to `MAX_FINDINGS`
             of them, each with its place in the document.
     """
-    parsed = read_resource(document)
+    parsed = parse_resource(document)
     findings = parsed.findings + tuple(_check_windows(document, max_key_window))
     raise_findings("resource", findings[:MAX_FINDINGS])
     return parsed.resource
 
 
-def read_resource(document):
+def parse_resource(document):
     """Parse a resource leniently, as far as possible.
 
     An invalid value is replaced by its default. The exception is a call with an
--- a/whinwinch/router.py
+++ b/whinwinch/router.py
@@ -97,7 +97,7 @@
         key_window: Maximum age of an idempotency key in seconds.
         record_call: Function that records an `IncomingCall`, its `CallResult` and
             the seconds that it took.
-        notes: `recording.Notes` that records a trace.
+        trace_hooks: `recording.TraceHooks` that records a trace.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         random,
         key_window,
         record_call,
-        notes=recording.NOTHING,
+        trace_hooks=recording.NO_TRACE_HOOKS,
     ):
         self._clock = clock
         self._targets = targets
@@ -126,7 +126,7 @@
         self._random = random
         self._key_window = key_window
         self._record_call = record_call
-        self._notes = notes
+        self._trace_hooks = trace_hooks
 
     async def route_root(self, incoming, budget=None):
         """Route a call as a new root request.
@@ -158,10 +158,10 @@
             body=incoming.body,
         )
         self._ledger.open(request.attempt, request.budget, request.deadline)
-        self._notes.root_request(request)
+        self._trace_hooks.root_request(request)
         routed = await self._route_and_record(request, incoming, call, request.attempt)
         source = routed.answer.attempt
-        self._notes.delivered(
+        self._trace_hooks.delivered(
             request.root, routed.answer, "" if source == request.attempt else source
         )
         return routed
@@ -303,7 +303,7 @@
                 tries,
             )
         )
-        self._notes.attempt(attempt, tries > 0)
+        self._trace_hooks.attempt(attempt, tries > 0)
         answer = await sending.send_and_observe(
             self._placement, endpoint, attempt, self._clock, self._serve_or_call
         )
@@ -360,7 +360,7 @@
     if not normal:
         return Reason.KEY_MISSING
     made = claims.get_key_time(normal)
-    if made > wall_time + claims.AHEAD:
+    if made > wall_time + claims.MAX_CLOCK_SKEW:
         return Reason.KEY_MISSING
     if made < wall_time - window:
         return Reason.KEY_AGE
