--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -91,7 +91,7 @@
     mesh = build_mesh(fleet)
     known = directory.Directory("")
     for endpoint in mesh:
-        known.tell(endpoint.address, endpoint)
+        known.apply_report(endpoint.address, endpoint)
     draw = random.Random(2)
     callers, links = collections.Counter(), []
     for own in mesh:
@@ -148,9 +148,9 @@
     slots = iter(range(100, 1000))
 
     def change():
-        known.tell(mesh[-1].address, mesh[-1]._replace(slots=next(slots)))
+        known.apply_report(mesh[-1].address, mesh[-1]._replace(slots=next(slots)))
         preferences.list_preferred("s0")
-        sources.Ranks(own.address, own.zone, known.everyone)
+        sources.Ranks(own.address, own.zone, known.all_endpoints)
 
     return time_best(change) * 1e3
 
--- a/bench/network.py
+++ b/bench/network.py
@@ -47,7 +47,7 @@
 
     def add(self, members, relay):
         """Connect a daemon; return its `gossip.Gossip`."""
-        endpoint = members.own.endpoint
+        endpoint = members.local_member.endpoint
 
         async def send(address, message):
             return await self._deliver(endpoint, address, message)
@@ -79,7 +79,7 @@
             raise gossip.SendError(f"{address}: no connection")
         if not self.reaches(sender.address, address):
             raise gossip.SendError(f"{address}: no connection")
-        delay = find_delay(sender, receiver.members.own.endpoint)
+        delay = find_delay(sender, receiver.members.local_member.endpoint)
         await asyncio.sleep(delay)
         data = message.SerializeToString()
         copy = peer_pb2.GossipMessage.FromString(data)
@@ -95,7 +95,9 @@
 
     def _lives(self, endpoint):
         present = self.daemons.get(endpoint.address)
-        return present and present.members.own.endpoint.daemon == endpoint.daemon
+        return (
+            present and present.members.local_member.endpoint.daemon == endpoint.daemon
+        )
 
 
 async def wait_for(condition, seconds=200.0, interval=0.1):
@@ -129,6 +131,6 @@
     for number, endpoint in enumerate(endpoints):
         source = random.Random(number)
         members = membership.Membership(endpoint, source, table=table.copy())
-        members.finish_pages()
+        members.stop_fetching_pages()
         found.append(members)
     return found
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -45,7 +45,7 @@
         membertable.BUCKETS,
     )
     for daemon in mesh.values():
-        daemon.take_page(page, 0.0)
+        daemon.apply_page(page, 0.0)
     return mesh
 
 
@@ -64,7 +64,7 @@
     sent = []
     for sender in tuple(mesh.values()):
         for instruction in sender.plan(now):
-            if isinstance(instruction, membership.ProbeVia):
+            if isinstance(instruction, membership.IndirectProbe):
                 _probe_via(mesh, sender, instruction, now, reaches)
             else:
                 sent.append(_probe(mesh, sender, instruction, now, reaches))
@@ -74,39 +74,41 @@
 def _probe(mesh, sender, probe, now, reaches):
     size = sum(map(membership.estimate_bytes, probe.members))
     receiver = mesh.get(probe.daemon)
-    if receiver is None or not reaches(sender.own.endpoint, receiver.own.endpoint):
-        sender.missed(probe.daemon, now)
+    if receiver is None or not reaches(
+        sender.local_member.endpoint, receiver.local_member.endpoint
+    ):
+        sender.record_missed_probe(probe.daemon, now)
         return Traffic(0, size, 0)
     receiver.merge(probe.members, now)
-    receiver.heard(sender.own.endpoint.daemon, now)
-    answer = receiver.take_rumours(now, sender.own.endpoint.daemon)
-    answer += receiver.compare(probe.digests, now)
+    receiver.record_alive(sender.local_member.endpoint.daemon, now)
+    answer = receiver.select_rumours(now, sender.local_member.endpoint.daemon)
+    answer += receiver.find_differing_members(probe.digests, now)
     size += sum(map(membership.estimate_bytes, answer))
-    if not reaches(receiver.own.endpoint, sender.own.endpoint):
-        sender.missed(probe.daemon, now)
+    if not reaches(receiver.local_member.endpoint, sender.local_member.endpoint):
+        sender.record_missed_probe(probe.daemon, now)
         return Traffic(0, size, 0)
     sender.merge(answer, now)
-    sender.heard(probe.daemon, now)
-    crosses = receiver.own.endpoint.zone != sender.own.endpoint.zone
+    sender.record_alive(probe.daemon, now)
+    crosses = receiver.local_member.endpoint.zone != sender.local_member.endpoint.zone
     return Traffic(1, size, int(crosses))
 
 
 def _probe_via(mesh, sender, instruction, now, reaches):
     target = mesh.get(instruction.daemon)
-    own = sender.own.endpoint
+    own = sender.local_member.endpoint
     words = []
     for endpoint in instruction.helpers:
         helper = mesh.get(endpoint.daemon)
         if helper is None or not _reach_both(reaches, own, endpoint):
             continue
         answers = target is not None and _reach_both(
-            reaches, endpoint, target.own.endpoint
+            reaches, endpoint, target.local_member.endpoint
         )
         words.append(answers)
     if any(words):
-        sender.heard(instruction.daemon, now)
+        sender.record_alive(instruction.daemon, now)
     elif words:
-        sender.deny(instruction.daemon, now)
+        sender.record_confirmed_failure(instruction.daemon, now)
 
 
 def _reach_both(reaches, one, other):
--- a/bench/spreads.py
+++ b/bench/spreads.py
@@ -58,7 +58,7 @@
         seconds, sent = run_until_gone(mesh, {victim}, 0)
         clock = seconds
         yield Row("one daemon dies: gone everywhere after", size, seconds, "s")
-        zone = [d for d, m in mesh.items() if m.own.endpoint.zone == "zone-0"]
+        zone = [d for d, m in mesh.items() if m.local_member.endpoint.zone == "zone-0"]
         for daemon in zone:
             del mesh[daemon]
         seconds, sent = run_until_gone(mesh, set(zone), clock)
@@ -74,12 +74,12 @@
         others = [
             members
             for members in mesh.values()
-            if members.own.endpoint.region != "region-0"
+            if members.local_member.endpoint.region != "region-0"
         ]
         for now in range(1, 121):
             rounds.run_round(mesh, float(now), is_same_side)
             if now in (10, 30, 60, 120):
-                found = sum("region-0" in m.find_cut_regions() for m in others)
+                found = sum("region-0" in m.find_unreachable_regions() for m in others)
                 what = f"daemons that leave it out after {now} s"
                 yield Row(what, f"{count:,} daemons", found / len(others) * 100, "%")
 
@@ -209,7 +209,7 @@
     """Give a record to the readers; return when each daemon knew it, sorted."""
     loop = asyncio.get_running_loop()
     record = client.Record(0, 0.0, build_change(1))
-    members = [daemon.members.own for daemon in mesh.daemons.values()]
+    members = [daemon.members.local_member for daemon in mesh.daemons.values()]
     for member in find_readers(members):
         daemon = mesh.daemons[member.endpoint.address]
         daemon.relay.take([record])
@@ -228,7 +228,7 @@
 def build_mesh(count):
     """Return memberships by identifier that all know each other."""
     found = network.build_memberships(count, ZONES, REGIONS, count_services(count))
-    return {members.own.endpoint.daemon: members for members in found}
+    return {members.local_member.endpoint.daemon: members for members in found}
 
 
 def run_until_gone(mesh, victims, start):
@@ -313,14 +313,14 @@
     addresses = [
         address
         for address, daemon in mesh.daemons.items()
-        if daemon.members.own.endpoint.zone == "zone-0"
+        if daemon.members.local_member.endpoint.zone == "zone-0"
     ]
     data = joins.encode_record(
         joins.build_join(next(iter(mesh.daemons.values())).members, random.Random(1))
     )
     log = CountingLog([client.Record(0, 0.0, data)])
     for number, address in enumerate(addresses):
-        old = mesh.daemons.pop(address).members.own.endpoint
+        old = mesh.daemons.pop(address).members.local_member.endpoint
         fresh = old._replace(daemon=uuid.uuid5(uuid.NAMESPACE_OID, address).hex)
         source = random.Random(number)
         mesh.add(membership.Membership(fresh, source), build_relay())
--- a/bench/states.py
+++ b/bench/states.py
@@ -50,7 +50,7 @@
         yield Row("take the list in", size, seconds / count * 1e6, "us/member")
         held = measure_memory(lambda count=count, data=data: build_one(count, data))
         yield Row("member list in memory", size, held / count, "B/member")
-        service = fresh.own.endpoint.service
+        service = fresh.local_member.endpoint.service
         yield Row(
             "find the endpoints of a service",
             size,
@@ -182,12 +182,14 @@
     """Take in a packed list of all members."""
     answer = peer_pb2.GossipAnswer.FromString(data)
     found = gossip.unpack_members(answer.members)
-    members.take_page(membership.MemberPage(found, membertable.BUCKETS), 0.0)
+    members.apply_page(membership.MemberPage(found, membertable.BUCKETS), 0.0)
 
 
 def is_reader(members):
     """Decide as a daemon does whether it reads the configuration."""
-    return readers.is_reader(members.members(), members.own, streams.CONFIGURATION, 0.0)
+    return readers.is_reader(
+        members.members(), members.local_member, streams.CONFIGURATION, 0.0
+    )
 
 
 # Claims, configuration, calls.
--- a/test/daemons/test_gossip.py
+++ b/test/daemons/test_gossip.py
@@ -24,7 +24,7 @@
     endpoints = [rounds.build_endpoint(i, 3, 1, 4) for i in range(count)]
     for endpoint in endpoints:
         daemon = add_daemon(network, endpoint)
-        daemon.members.load_join(endpoints[0])
+        daemon.members.add_contact(endpoints[0])
     return network, endpoints
 
 
@@ -89,9 +89,9 @@
             network, endpoints = build_network(1)
             successor = endpoints[0]._replace(daemon="f" * 32)
             newcomer = add_daemon(network, successor)
-            newcomer.members.load_join(endpoints[0])
+            newcomer.members.add_contact(endpoints[0])
             await network.run(wait_for(lambda: not newcomer.members.find_contacts()))
-            self.assertLess(newcomer.members.next_page, membertable.BUCKETS)
+            self.assertLess(newcomer.members.next_bucket, membertable.BUCKETS)
 
         clocks.run_jumping(main())
 
@@ -157,7 +157,7 @@
                     lambda: all(
                         d.members.get(former.daemon).state is State.GONE
                         for d in list(daemons)
-                        if d.members.own.endpoint != successor
+                        if d.members.local_member.endpoint != successor
                     ),
                     15.0,
                 )
--- a/test/platform/test_heartbeats.py
+++ b/test/platform/test_heartbeats.py
@@ -29,9 +29,11 @@
 class HeartbeatTest(unittest.TestCase):
     def test_read(self):
         read = parse()
-        self.assertEqual((read.identity, read.started, read.sequence), ("i-1", 1700, 4))
+        self.assertEqual(
+            (read.identity, read.start_time_ms, read.sequence), ("i-1", 1700, 4)
+        )
         self.assertEqual((read.state, read.slots), (State.LEAVING, 81))
-        self.assertEqual(read.warm_in, 1.5)
+        self.assertEqual(read.warmup_left, 1.5)
 
     def test_heartbeat_of_another_writer(self):
         """Somebody else writes: fields are missing, of another type or unknown.
--- a/test/test_announcements.py
+++ b/test/test_announcements.py
@@ -11,41 +11,41 @@
 class AnnouncementsTest(unittest.TestCase):
     def setUp(self):
         self.announcements = Announcements()
-        self.announcements.take(FIRST)
+        self.announcements.apply(FIRST)
 
     def test_late_ready_does_not_override_leaving(self):
         """A "ready" heartbeat is delayed and arrives after the "draining" one.
 
         If it were applied, callers would be sent to a backend server about to stop.
         """
-        self.announcements.take(LEAVING)
-        self.assertTrue(self.announcements.take(FIRST))
+        self.announcements.apply(LEAVING)
+        self.assertTrue(self.announcements.apply(FIRST))
         self.assertEqual(self.announcements.newest, LEAVING)
 
     def test_heartbeat_after_the_leave_is_ignored(self):
         """A heartbeat is delayed and arrives after its sender's leave."""
-        self.assertTrue(self.announcements.leave("i-1", 0))
-        self.assertTrue(self.announcements.take(FIRST._replace(sequence=9)))
+        self.assertTrue(self.announcements.apply_leave("i-1", 0))
+        self.assertTrue(self.announcements.apply(FIRST._replace(sequence=9)))
         self.assertIsNone(self.announcements.newest)
 
     def test_restart_under_the_same_identifier_resets_the_sequence(self):
         """A restarted backend server keeps its identifier and resets its sequence."""
-        self.announcements.leave("i-1", 100)
-        again = FIRST._replace(started=200, sequence=1)
-        self.assertEqual(self.announcements.take(again), "")
+        self.announcements.apply_leave("i-1", 100)
+        again = FIRST._replace(start_time_ms=200, sequence=1)
+        self.assertEqual(self.announcements.apply(again), "")
         self.assertEqual(self.announcements.newest, again)
-        self.assertTrue(self.announcements.take(FIRST._replace(sequence=99)))
+        self.assertTrue(self.announcements.apply(FIRST._replace(sequence=99)))
 
     def test_leave_of_an_earlier_start_is_ignored(self):
         """The leave of a former process arrives after its successor's announcement."""
-        again = FIRST._replace(started=200, sequence=1)
-        self.announcements.take(again)
-        self.assertFalse(self.announcements.leave("i-1", 100))
+        again = FIRST._replace(start_time_ms=200, sequence=1)
+        self.announcements.apply(again)
+        self.assertFalse(self.announcements.apply_leave("i-1", 100))
         self.assertEqual(self.announcements.newest, again)
 
     def test_late_heartbeat_of_a_replaced_backend_server_is_ignored(self):
         """A network cut delays a heartbeat until its sender has been replaced."""
-        newer = FIRST._replace(identity="i-2", started=200, sequence=1)
-        self.assertEqual(self.announcements.take(newer), "")
-        self.assertTrue(self.announcements.take(FIRST._replace(sequence=7)))
+        newer = FIRST._replace(identity="i-2", start_time_ms=200, sequence=1)
+        self.assertEqual(self.announcements.apply(newer), "")
+        self.assertTrue(self.announcements.apply(FIRST._replace(sequence=7)))
         self.assertEqual(self.announcements.newest, newer)
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -63,7 +63,7 @@
         self.peers = FakePeers()
         for number, answers in enumerate(scripts):
             address = f"peer:{number}"
-            members.record(address, Endpoint(address, address, "s", "z", "", 9))
+            members.apply_record(address, Endpoint(address, address, "s", "z", "", 9))
             self.peers[address] = FakePeer(list(answers))
         self.reported_levels = reportedlevels.ReportedLevels()
         return forwarding.Forwarder(
--- a/test/test_joins.py
+++ b/test/test_joins.py
@@ -23,7 +23,7 @@
         first = next(iter(mesh.values()))
         record = joins.build_join(first, random.Random(1))
         self.assertEqual(len(record.joined), joins.COMPANIONS + 1)
-        self.assertEqual(record.joined[0], first.own.endpoint)
+        self.assertEqual(record.joined[0], first.local_member.endpoint)
 
         newcomer = membership.Membership(rounds.build_endpoint(99), random.Random(1))
         data = joins.encode_record(record)
@@ -33,7 +33,7 @@
             client.Record(1, 100.0, data),
             client.Record(2, 101.0, leave),
         ]
-        self.assertEqual(joins.load_records(newcomer, page), 1)
+        self.assertEqual(joins.apply_records(newcomer, page), 1)
         self.assertEqual(len(newcomer.find_contacts()), joins.COMPANIONS)
 
     def test_restart_of_a_zone_keeps_to_the_append_rate(self):
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -66,8 +66,8 @@
         daemons = list(mesh.values())
         daemons[0].announce("catalog", 7, False, 0.0)
         for number in range(200):
-            daemons[0].take_rumours(float(number))
-        self.assertEqual(daemons[0].take_rumours(200.0), ())
+            daemons[0].select_rumours(float(number))
+        self.assertEqual(daemons[0].select_rumours(200.0), ())
         run_until(
             mesh,
             200.0,
@@ -77,7 +77,7 @@
     def test_leaving_is_marked_and_gone_member_is_forgotten(self):
         mesh = rounds.build_mesh(12, ZONES, services=4)
         first = next(iter(mesh.values()))
-        endpoint = first.own.endpoint
+        endpoint = first.local_member.endpoint
         first.announce(endpoint.service, endpoint.slots, True, 0.0)
         now = run_until(
             mesh,
@@ -101,7 +101,7 @@
         allowed = membership.Settings().max_message_bytes
         rounds.run_round(mesh, 1.0)
         for daemon in daemons:
-            sent = daemon.take_rumours(1.5)
+            sent = daemon.select_rumours(1.5)
             self.assertLessEqual(sum(map(membership.estimate_bytes, sent)), allowed)
 
     def test_most_probes_stay_in_the_zone(self):
@@ -185,11 +185,11 @@
         paused, resumed = list(mesh.items())[3]
         rounds.run_round(mesh, 0.0)
         for other in list(mesh)[8:]:
-            resumed.deny(other, 0.0)
+            resumed.record_confirmed_failure(other, 0.0)
         del mesh[paused]
         now = run_until(mesh, 0.0, lambda: find_states(mesh, paused) == {State.GONE})
         for other in list(mesh)[:6]:
-            resumed.missed(other, now)
+            resumed.record_missed_probe(other, now)
         mesh[paused] = resumed
 
         def all_alive():
@@ -200,10 +200,10 @@
         for _ in range(60):
             now += 1.0
             rounds.run_round(mesh, now)
-            others = [m for m in resumed.members() if m is not resumed.own]
+            others = [m for m in resumed.members() if m is not resumed.local_member]
             self.assertNotIn(State.GONE, {member.state for member in others})
         self.assertTrue(all_alive())
-        self.assertGreater(resumed.own.version, 1)
+        self.assertGreater(resumed.local_member.version, 1)
 
     def test_other_daemon_at_the_address_evicts_the_former_one(self):
         """An instance restarts within a second and gets the same address.
@@ -213,8 +213,8 @@
         """
         mesh = rounds.build_mesh(5)
         first, second = list(mesh.values())[:2]
-        first.replace(second.own.endpoint.daemon, 1.0)
-        self.assertIs(first.get(second.own.endpoint.daemon).state, State.GONE)
+        first.record_replaced(second.local_member.endpoint.daemon, 1.0)
+        self.assertIs(first.get(second.local_member.endpoint.daemon).state, State.GONE)
 
     def test_two_daemons_have_no_helper(self):
         mesh = rounds.build_mesh(2)
@@ -268,9 +268,9 @@
             mesh,
             0.0,
             lambda: all(
-                "region-0" in m.find_cut_regions()
+                "region-0" in m.find_unreachable_regions()
                 for m in mesh.values()
-                if m.own.endpoint.region != "region-0"
+                if m.local_member.endpoint.region != "region-0"
             ),
             build_cut_network(lambda endpoint: endpoint.region == "region-0"),
             intervals=100,
@@ -366,7 +366,7 @@
     """Return whether every table has all live daemons up to date and no dead ones."""
     for member in mesh.values():
         for daemon, other in mesh.items():
-            if member.get(daemon) != other.own:
+            if member.get(daemon) != other.local_member:
                 return False
         if any(m.endpoint.daemon in dead for m in find_present(member)):
             return False
@@ -386,11 +386,11 @@
     def test_contact_from_the_log_is_not_a_member(self):
         newcomer = self.build_newcomer()
         contact = rounds.build_endpoint(5)._replace(service="archive")
-        newcomer.load_join(contact)
+        newcomer.add_contact(contact)
         self.assertEqual(len(newcomer), 1)
         self.assertEqual(newcomer.find_endpoints(contact.service), ())
         self.assertEqual(newcomer.find_contacts(), (contact,))
-        newcomer.load_leave(contact.daemon)
+        newcomer.remove_contact(contact.daemon)
         self.assertEqual(newcomer.find_contacts(), ())
 
     def test_pages_bring_the_whole_list(self):
@@ -398,9 +398,9 @@
         peers = list(mesh.values())
         newcomer = self.build_newcomer()
         pages = 0
-        while newcomer.next_page < membertable.BUCKETS:
-            page = peers[pages % 3].give_page(newcomer.next_page, 0.0)
-            newcomer.take_page(page, 0.0)
+        while newcomer.next_bucket < membertable.BUCKETS:
+            page = peers[pages % 3].build_page(newcomer.next_bucket, 0.0)
+            newcomer.apply_page(page, 0.0)
             pages += 1
         self.assertEqual(len(newcomer), 301)
         self.assertGreater(pages, 2)
@@ -413,12 +413,12 @@
         """
         other = self.build_newcomer(1001)
         newcomer = self.build_newcomer()
-        newcomer.take_page(other.give_page(0, 0.0), 0.0)
-        self.assertEqual(newcomer.next_page, 0)
+        newcomer.apply_page(other.build_page(0, 0.0), 0.0)
+        self.assertEqual(newcomer.next_bucket, 0)
         self.assertEqual(len(newcomer), 2)
-        other.finish_pages()
-        newcomer.take_page(other.give_page(0, 0.0), 0.0)
-        self.assertEqual(newcomer.next_page, membertable.BUCKETS)
+        other.stop_fetching_pages()
+        newcomer.apply_page(other.build_page(0, 0.0), 0.0)
+        self.assertEqual(newcomer.next_bucket, membertable.BUCKETS)
 
     def test_pages_are_refused_above_the_page_budget(self):
         """A zone of hundreds of daemons restarts and all request the member list.
@@ -429,7 +429,7 @@
         parameters = peer.settings
         sent_bytes = 0
         for number in range(400):
-            page = peer.give_page(0, number / 100)
+            page = peer.build_page(0, number / 100)
             sent_bytes += sum(map(membership.estimate_bytes, page.members))
             if not page.members:
                 self.assertEqual(page.next_bucket, 0)
--- a/test/test_subsets.py
+++ b/test/test_subsets.py
@@ -44,7 +44,7 @@
     """
     known = directory.Directory(daemon.address)
     for endpoint in mesh:
-        known.record(endpoint.address, endpoint)
+        known.apply_record(endpoint.address, endpoint)
     return select_endpoints(daemon, known, service, unreachable)
 
 
@@ -65,7 +65,7 @@
     callers, links = collections.Counter(), {}
     known = directory.Directory("")
     for endpoint in mesh:
-        known.record(endpoint.address, endpoint)
+        known.apply_record(endpoint.address, endpoint)
     for daemon in mesh:
         if daemon.address in unreachable:
             continue
--- a/whinwinch/announcements.py
+++ b/whinwinch/announcements.py
@@ -22,24 +22,24 @@
 
     Attributes:
         identity: Identifier of the backend server.
-        started: Its start time in milliseconds of its wall clock; 0 when it isn't
+        start_time_ms: Its start time in milliseconds of its wall clock; 0 when it isn't
             announced.
         sequence: Sequence number of the announcement, ascending since the start.
         service: Name of its service.
         address: Its address as "host:port".
         slots: Requests that it can process concurrently.
         state: Its announced state.
-        warm_in: Seconds of warm-up that remain, in which it is still slow.
+        warmup_left: Seconds of warm-up that remain, in which it is still slow.
     """
 
     identity: str
-    started: int
+    start_time_ms: int
     sequence: int
     service: str
     address: str
     slots: int
     state: State
-    warm_in: float = 0.0
+    warmup_left: float = 0.0
 
 
 class Announcements:
@@ -55,7 +55,7 @@
         """The `Announcement` in effect, or None."""
         return self._newest
 
-    def take(self, announcement):
+    def apply(self, announcement):
         """Apply an announcement unless it is outdated.
 
         Args:
@@ -69,12 +69,12 @@
             self._newest = announcement
         return rejection
 
-    def leave(self, identity, started):
+    def apply_leave(self, identity, start_time_ms):
         """Apply the message that a backend server has left.
 
         Args:
             identity: Identifier of the backend server.
-            started: Start time of the process that left, in milliseconds of its
+            start_time_ms: Start time of the process that left, in milliseconds of its
                 wall clock; 0 when the message doesn't contain it.
 
         Returns:
@@ -82,12 +82,12 @@
         """
         newest = self._newest
         is_newest = newest is not None and newest.identity == identity
-        if is_newest and 0 < started < newest.started:
+        if is_newest and 0 < start_time_ms < newest.start_time_ms:
             # An earlier process with the same identifier has left.
             return False
-        current = newest.started if is_newest else 0
+        current = newest.start_time_ms if is_newest else 0
         self._departed[identity] = max(
-            started, current, self._departed.get(identity, 0)
+            start_time_ms, current, self._departed.get(identity, 0)
         )
         if is_newest:
             self._newest = None
@@ -95,16 +95,16 @@
 
     def _find_rejection(self, announcement):
         departed = self._departed.get(announcement.identity)
-        if departed is not None and announcement.started <= departed:
+        if departed is not None and announcement.start_time_ms <= departed:
             return "this backend server has already left"
         newest = self._newest
         if newest is None:
             return ""
         if newest.identity != announcement.identity:
-            older = 0 < announcement.started < newest.started
+            older = 0 < announcement.start_time_ms < newest.start_time_ms
             return "a later start was already announced" if older else ""
-        if announcement.started != newest.started:
-            older = announcement.started < newest.started
+        if announcement.start_time_ms != newest.start_time_ms:
+            older = announcement.start_time_ms < newest.start_time_ms
             return "a later start was already announced" if older else ""
         if announcement.sequence <= newest.sequence:
             return "a newer announcement was already applied"
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -67,7 +67,7 @@
     members = membership.Membership(
         endpoint,
         random.Random(),
-        membership.Settings(interval=settings.gossip_interval),
+        membership.Settings(probe_interval=settings.gossip_interval),
     )
     store = Store(
         configuration.Configuration(),
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -168,7 +168,7 @@
 
     def _publish_membership(self, now):
         announcement = self.announcement
-        own = self._membership.own.endpoint
+        own = self._membership.local_member.endpoint
         service = announcement.service if announcement else own.service
         slots = announcement.slots if announcement else own.slots
         leaving = lifecycle.is_leaving(self._lifecycle)
--- a/whinwinch/daemons/gossip.py
+++ b/whinwinch/daemons/gossip.py
@@ -87,17 +87,17 @@
     """
     now = _read_clock()
     _take_news(gossip, message)
-    gossip.members.heard(message.sender, now)
+    gossip.members.record_alive(message.sender, now)
     if message.configuration_offset > gossip.relay.offset:
         _ask_later(gossip, message.sender)
     answer = peer_pb2.GossipAnswer(
-        sender=gossip.members.own.endpoint.daemon,
+        sender=gossip.members.local_member.endpoint.daemon,
         configuration_offset=gossip.relay.offset,
         configuration_age=gossip.relay.find_age(now),
         records=map(pack_record, gossip.relay.give(message.configuration_offset)),
     )
     if message.full:
-        page = gossip.members.give_page(message.bucket, now)
+        page = gossip.members.build_page(message.bucket, now)
         answer.members.extend(map(pack_member, page.members))
         answer.next_bucket = page.next_bucket
         return answer
@@ -166,10 +166,10 @@
 
 def _choose_news(gossip, message, digests):
     now = _read_clock()
-    rumours = gossip.members.take_rumours(now, message.sender)
+    rumours = gossip.members.select_rumours(now, message.sender)
     if not digests.values:
         return rumours
-    differing = gossip.members.compare(digests, now)
+    differing = gossip.members.find_differing_members(digests, now)
     told = {packed.daemon for packed in message.members}
     told.update(member.endpoint.daemon for member in rumours)
     return rumours + tuple(m for m in differing if m.endpoint.daemon not in told)
@@ -195,7 +195,7 @@
 def _compose(gossip, **fields):
     now = _read_clock()
     return peer_pb2.GossipMessage(
-        sender=gossip.members.own.endpoint.daemon,
+        sender=gossip.members.local_member.endpoint.daemon,
         configuration_offset=gossip.relay.offset,
         configuration_age=gossip.relay.find_age(now),
         **fields,
@@ -221,10 +221,10 @@
 
 
 async def _probe_periodically(gossip, group, random):
-    interval = gossip.members.settings.interval
+    interval = gossip.members.settings.probe_interval
     while True:
         for instruction in gossip.members.plan(_read_clock()):
-            if isinstance(instruction, membership.ProbeVia):
+            if isinstance(instruction, membership.IndirectProbe):
                 group.create_task(_probe_via(gossip, instruction))
             else:
                 group.create_task(_probe(gossip, instruction))
@@ -236,13 +236,13 @@
     try:
         answer = await _send(gossip, probe.address, message)
     except SendError:
-        gossip.members.missed(probe.daemon, _read_clock())
+        gossip.members.record_missed_probe(probe.daemon, _read_clock())
         return
     now = _read_clock()
     if answer.sender != probe.daemon:
-        gossip.members.replace(probe.daemon, now)
+        gossip.members.record_replaced(probe.daemon, now)
     _take_news(gossip, answer)
-    gossip.members.heard(answer.sender, now)
+    gossip.members.record_alive(answer.sender, now)
     if answer.configuration_offset > gossip.relay.offset:
         _ask_later(gossip, answer.sender)
 
@@ -268,9 +268,9 @@
         _take_news(gossip, answer)
     now = _read_clock()
     if any(answer.probe_answered for answer in heard):
-        gossip.members.heard(instruction.daemon, now)
+        gossip.members.record_alive(instruction.daemon, now)
     elif heard:
-        gossip.members.deny(instruction.daemon, now)
+        gossip.members.record_confirmed_failure(instruction.daemon, now)
 
 
 async def _try_probe(gossip, address):
@@ -342,7 +342,7 @@
     members = gossip.members
     last = _read_clock()
     asked = set()
-    while members.next_page < membertable.BUCKETS:
+    while members.next_bucket < membertable.BUCKETS:
         contacts = members.find_contacts()
         if all(endpoint.daemon in asked for endpoint in contacts):
             asked.clear()
@@ -354,33 +354,33 @@
         if has_list or len(members) == 1:
             last = _read_clock()
         elif _read_clock() - last > FETCH_PATIENCE:
-            members.finish_pages()
+            members.stop_fetching_pages()
         await asyncio.sleep(random.uniform(*FETCH_PAUSE))
     logging.info("member list received: %d members", len(gossip.members))
 
 
 async def _fetch_page(gossip, endpoint):
     """Ask for a page; return whether somebody was met who has the list."""
-    own = pack_member(gossip.members.own)
-    bucket = gossip.members.next_page
+    own = pack_member(gossip.members.local_member)
+    bucket = gossip.members.next_bucket
     message = _compose(gossip, members=[own], full=True, bucket=bucket)
     try:
         answer = await _send(gossip, endpoint.address, message)
     except SendError:
-        gossip.members.missed(endpoint.daemon, _read_clock())
+        gossip.members.record_missed_probe(endpoint.daemon, _read_clock())
         return False
     now = _read_clock()
     if answer.sender != endpoint.daemon:
         # The log still names a predecessor at this address.
-        gossip.members.load_leave(endpoint.daemon)
-        gossip.members.replace(endpoint.daemon, now)
-    if answer.sender == gossip.members.own.endpoint.daemon:
+        gossip.members.remove_contact(endpoint.daemon)
+        gossip.members.record_replaced(endpoint.daemon, now)
+    if answer.sender == gossip.members.local_member.endpoint.daemon:
         # Taken for a peer's, its own empty list would seem complete, and
         # callers would be told "no-endpoint" of services that are there.
         return False
     page = membership.MemberPage(unpack_members(answer.members), answer.next_bucket)
-    changes = gossip.members.take_page(page, now)
-    gossip.members.heard(answer.sender, now)
+    changes = gossip.members.apply_page(page, now)
+    gossip.members.record_alive(answer.sender, now)
     gossip.notify(changes)
     # Who has no list gives itself; who has given too many lately gives nothing.
     return page.next_bucket > bucket or not page.members
--- a/whinwinch/directory.py
+++ b/whinwinch/directory.py
@@ -23,15 +23,15 @@
         # starts receives a record of every other one.
         self._is_stale = False
         self._services = {}
-        self._everyone = ()
+        self._all_endpoints = ()
 
     @property
-    def everyone(self):
+    def all_endpoints(self):
         """Tuple of all known daemons' `Endpoint`, a new object after a change."""
         self._refresh()
-        return self._everyone
+        return self._all_endpoints
 
-    def record(self, address, endpoint):
+    def apply_record(self, address, endpoint):
         """Apply a record of the log.
 
         Args:
@@ -49,7 +49,7 @@
                 self._reported.pop(address, None)
         self._is_stale = True
 
-    def tell(self, address, endpoint):
+    def apply_report(self, address, endpoint):
         """Apply what a daemon reports of its backend server over a connection.
 
         Args:
@@ -60,7 +60,7 @@
             self._reported[address] = endpoint
             self._is_stale = True
 
-    def forget_told(self, address):
+    def discard_report(self, address):
         """Discard what a daemon reported, so that only its record counts.
 
         The daemon may have restarted since then, after reporting that it leaves.
@@ -92,13 +92,13 @@
         if not self._is_stale:
             return
         self._is_stale = False
-        services, everyone = {}, []
+        services, all_endpoints = {}, []
         for address in sorted(self._recorded.keys() | self._reported.keys()):
             endpoint = self._reported.get(address) or self._recorded[address]
-            everyone.append(endpoint)
+            all_endpoints.append(endpoint)
             if endpoint.service and not endpoint.leaving:
                 services.setdefault(endpoint.service, []).append(endpoint)
-        self._everyone = tuple(everyone)
+        self._all_endpoints = tuple(all_endpoints)
         self._services = {name: tuple(listed) for name, listed in services.items()}
 
 
--- a/whinwinch/entrances.py
+++ b/whinwinch/entrances.py
@@ -56,7 +56,7 @@
         answer = await gossip.answer_gossip(talk, message)
         return answer.SerializeToString()
 
-    hello = frames.Hello(parts.own, parts.members.own.endpoint.address)
+    hello = frames.Hello(parts.own, parts.members.local_member.endpoint.address)
     tokens = parts.settings.peer_token
     return exchange.Exchange(
         hello,
@@ -233,7 +233,7 @@
             return "no configuration read yet"
         configured.append(parts.loop.time())
         del configured[1:]
-        if parts.members.next_page >= membertable.BUCKETS:
+        if parts.members.next_bucket >= membertable.BUCKETS:
             return ""
         # The only daemon of its mesh has nobody to get the list from.
         if parts.loop.time() - configured[0] < ALONE_SECONDS:
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -112,7 +112,9 @@
     def list_set_aside(self):
         """Return the addresses of the endpoints that are set aside at present."""
         observed = self._placement.used_daemons
-        services = {e.service for e in self._directory.everyone if e.daemon in observed}
+        services = {
+            e.service for e in self._directory.all_endpoints if e.daemon in observed
+        }
         now = self._loop.time()
         return sorted(
             address
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -186,10 +186,10 @@
 
     def record_endpoint(self, address, endpoint):
         """Take what the log holds of the daemon at an address, None for nothing."""
-        self.directory.record(address, endpoint)
+        self.directory.apply_record(address, endpoint)
         if not self._is_up(address):
             # It may have told of an earlier start that it leaves.
-            self.directory.forget_told(address)
+            self.directory.discard_report(address)
         if endpoint is None:
             self.peers.forget(address)
             self._starts.pop(address, None)
@@ -274,7 +274,7 @@
 
     def _publish(self):
         """Tell the daemons that are connected, and the own directory."""
-        self.directory.tell(self.place.address, self.endpoint)
+        self.directory.apply_report(self.place.address, self.endpoint)
         self.exchange.tell(frames.News(self.endpoint))
 
     def _find_parent(self, request, connection, expires):
@@ -304,7 +304,7 @@
         if isinstance(news, frames.TOPIC_KINDS):
             self._take_topic(self.peers.find(address).tell, news)
             return
-        self.directory.tell(address, news.endpoint)
+        self.directory.apply_report(address, news.endpoint)
 
     def _find_wait(self, request):
         route = self._routes.get(request.call)
@@ -398,14 +398,14 @@
         """Stay connected with those that read the log, for ever."""
         listed, ranks = None, None
         while True:
-            if self.directory.everyone is not listed:
-                listed = self.directory.everyone
+            if self.directory.all_endpoints is not listed:
+                listed = self.directory.all_endpoints
                 ranks = sources.Ranks(self.place.address, self.place.zone, listed)
             self._sources = ranks.choose(self._is_up, self.exchange.find_addresses)
             for address in self._sources.wanted:
                 self.peers.find(address).keep()
             for address in self.peers.drop_unused(self._loop.time()):
-                self.directory.forget_told(address)
+                self.directory.discard_report(address)
             await asyncio.sleep(SOURCES_SECONDS)
 
     def _greet(self, reply, hello):
@@ -413,7 +413,7 @@
         before = self._starts.get(hello.address)
         self._starts[hello.address] = hello.daemon
         if before != hello.daemon and not self._is_up(hello.address):
-            self.directory.forget_told(hello.address)
+            self.directory.discard_report(hello.address)
         self.topics.ask_missing(reply, self._loop.time())
 
     def _is_far(self, address):
--- a/whinwinch/joins.py
+++ b/whinwinch/joins.py
@@ -7,12 +7,12 @@
 the log only affects daemons that start during it.
 
 A join is only of use to later newcomers, and one record of a running daemon among
-the last `TAIL` is enough for them. So a join is postponed while the stream has many
-recent ones, and daemons that haven't reached the mesh yet wait longer the more
-joins they read. Otherwise a zone that restarts would send all its appends within
-one second, on top of the claims of all payouts. Each record also names a few other
-members, so that the end of the stream stays useful after the daemons that wrote it
-are gone.
+the last `TAIL_RECORDS` is enough for them. So a join is postponed while the stream
+has many recent ones, and daemons that haven't reached the mesh yet wait longer the
+more joins they read. Otherwise a zone that restarts would send all its appends
+within one second, on top of the claims of all payouts. Each record also names a few
+other members, so that the end of the stream stays useful after the daemons that
+wrote it are gone.
 
 Every daemon rereads the end of the stream at an interval proportional to the size
 of the mesh. If the mesh splits, the smaller part finds the larger one quickly, and
@@ -25,9 +25,9 @@
 from . import membertable, messages
 
 # Number of records read from the end of the stream.
-TAIL = 64
+TAIL_RECORDS = 64
 # A record is added when the stream has fewer than this.
-FEWEST_RECORDS = 8
+MIN_RECORDS = 8
 # Appends of joins per second, over the whole mesh: a few hundredths of the log's
 # capacity.
 APPEND_RATE = 10.0
@@ -42,12 +42,12 @@
 # A leave isn't appended when more daemons than this have joined recently. It only
 # saves newcomers a futile attempt to connect, and the restart of a zone needs the
 # log's appends for its joins.
-MANY_JOINS = 20
+MAX_JOINS_FOR_LEAVE = 20
 # Age in seconds up to which a join counts as recent.
-RECENT = 60.0
+RECENT_WINDOW = 60.0
 # Number of recent records that is enough for newcomers: with seven companions each
 # they name some 250 daemons.
-ENOUGH_RECENT = 32
+ENOUGH_RECENT_JOINS = 32
 
 
 class EndpointFields(TypedDict):
@@ -106,13 +106,13 @@
         member.endpoint
         for member in members.members()
         if member.state is membertable.State.ALIVE
-        and member.endpoint.daemon != members.own.endpoint.daemon
+        and member.endpoint.daemon != members.local_member.endpoint.daemon
     ]
     companions = random.sample(others, min(COMPANIONS, len(others)))
-    return JoinRecord((members.own.endpoint, *companions))
+    return JoinRecord((members.local_member.endpoint, *companions))
 
 
-def load_records(members, records):
+def apply_records(members, records):
     """Apply records to the contacts of the membership.
 
     Args:
@@ -125,19 +125,19 @@
     for record in records:
         decoded = decode_record(record.data)
         for endpoint in reversed(decoded.joined):
-            members.load_join(endpoint)
+            members.add_contact(endpoint)
         for daemon in decoded.left:
-            members.load_leave(daemon)
+            members.remove_contact(daemon)
     return count_recent(records)
 
 
 def count_recent(records):
-    """Count the joins written within `RECENT` seconds before the newest record.
+    """Count the joins written within `RECENT_WINDOW` seconds before the newest record.
 
     Only the log's timestamps are compared, since instances' clocks may differ.
     """
     newest = max((record.time for record in records), default=0.0)
-    recent = (record for record in records if record.time > newest - RECENT)
+    recent = (record for record in records if record.time > newest - RECENT_WINDOW)
     return sum(bool(decode_record(record.data).joined) for record in recent)
 
 
--- a/whinwinch/logservice/joining.py
+++ b/whinwinch/logservice/joining.py
@@ -55,9 +55,9 @@
         members: The `membership.Membership`.
         now: Time in seconds.
     """
-    if members.count_joins(now) > joins.MANY_JOINS:
+    if members.count_joins(now) > joins.MAX_JOINS_FOR_LEAVE:
         return
-    record = joins.JoinRecord(left=(members.own.endpoint.daemon,))
+    record = joins.JoinRecord(left=(members.local_member.endpoint.daemon,))
     try:
         await append(joins.encode_record(record))
     except client.LogUnavailable as error:
@@ -76,9 +76,9 @@
             page = await _read_end(read)
         except client.LogUnavailable:
             return
-        if joins.count_recent(page.records) < joins.ENOUGH_RECENT:
+        if joins.count_recent(page.records) < joins.ENOUGH_RECENT_JOINS:
             return
-        await asyncio.sleep(random.uniform(0.0, joins.RECENT))
+        await asyncio.sleep(random.uniform(0.0, joins.RECENT_WINDOW))
 
 
 async def _append_patiently(append, members, recent, random):
@@ -105,8 +105,8 @@
     """
     try:
         page = await _read_end(read)
-        joins.load_records(members, page.records)
-        if len(page.records) < joins.FEWEST_RECORDS:
+        joins.apply_records(members, page.records)
+        if len(page.records) < joins.MIN_RECORDS:
             await append(joins.encode_record(joins.build_join(members, random)))
     except client.LogUnavailable as error:
         logging.info("stream of members not refreshed: %s", error)
@@ -121,7 +121,7 @@
     """
     while True:
         page = await _read_tail(read, members, random)
-        recent = joins.load_records(members, page.records)
+        recent = joins.apply_records(members, page.records)
         await _wait_for_peer(members)
         if len(members) > 1:
             return recent
@@ -129,7 +129,7 @@
         later = await _read_tail(read, members, random)
         if later.next == page.next:
             await _append_join(append, members, random)
-        joins.load_records(members, later.records)
+        joins.apply_records(members, later.records)
         await _wait_for_peer(members)
         if len(members) > 1:
             return recent
@@ -139,7 +139,7 @@
     loop = asyncio.get_running_loop()
     end = loop.time() + CONTACT_TIME
     while len(members) == 1 and loop.time() < end:
-        await asyncio.sleep(members.settings.interval / 4)
+        await asyncio.sleep(members.settings.probe_interval / 4)
 
 
 async def _read_tail(read, members, random):
@@ -153,8 +153,8 @@
 
 async def _read_end(read):
     page = await read(0, 1, 0.0)
-    start = max(page.first, page.next - joins.TAIL)
-    return await read(start, joins.TAIL, 0.0)
+    start = max(page.first, page.next - joins.TAIL_RECORDS)
+    return await read(start, joins.TAIL_RECORDS, 0.0)
 
 
 async def _append_join(append, members, random):
--- a/whinwinch/memberplan.py
+++ b/whinwinch/memberplan.py
@@ -10,7 +10,7 @@
     """Parameters of the membership; times are in seconds, sizes in bytes.
 
     Attributes:
-        interval: Time between two probes. At one a second a dead member is
+        probe_interval: Time between two probes. At one a second a dead member is
             detected in about the time that callers need to notice it
             themselves.
         near_partners: Number of partners in this daemon's availability zone.
@@ -51,7 +51,7 @@
             contacts for reaching the mesh.
     """
 
-    interval: float = 1.0
+    probe_interval: float = 1.0
     near_partners: int = 5
     region_partners: int = 2
     far_partners: int = 1
@@ -126,7 +126,7 @@
     digests: Digests
 
 
-class ProbeVia(NamedTuple):
+class IndirectProbe(NamedTuple):
     """Instruction to have helpers probe a daemon that didn't answer.
 
     Attributes:
--- a/whinwinch/membership.py
+++ b/whinwinch/membership.py
@@ -28,7 +28,7 @@
 import math
 
 from . import membertable
-from .memberplan import Change, Digests, MemberPage, Probe, ProbeVia, Settings
+from .memberplan import Change, Digests, IndirectProbe, MemberPage, Probe, Settings
 from .membertable import Member, State, supersedes
 from .partners import Partners
 from .rumours import Rumours, TokenBucket, estimate_bytes
@@ -90,7 +90,7 @@
         self._join_times = collections.deque(maxlen=MAX_COUNTED_JOINS)
         self._contacts = {}
         self._digest_cursor = random.randrange(membertable.BUCKETS)
-        self._next_page = 0
+        self._next_bucket = 0
         self._last_plan = None
         self._page_budget = TokenBucket(parameters.page_rate, parameters.page_burst)
         self._table.put(self._local)
@@ -99,17 +99,17 @@
     # Queries.
 
     @property
-    def own(self):
+    def local_member(self):
         """This daemon as a `Member`."""
         return self._local
 
     @property
-    def next_page(self):
+    def next_bucket(self):
         """Bucket from which the member list remains to be fetched.
 
         `membertable.BUCKETS` when the whole list has been received.
         """
-        return self._next_page
+        return self._next_bucket
 
     def __len__(self):
         """Count the members that aren't gone, including this daemon."""
@@ -127,7 +127,7 @@
         """Return the endpoints of a service; safe to call from any thread."""
         return self._table.find_endpoints(service)
 
-    def find_cut_regions(self):
+    def find_unreachable_regions(self):
         """Return the regions that have stopped answering."""
         return frozenset(
             region
@@ -191,7 +191,7 @@
         """
         return self._merge_all(members, now, spread=True)
 
-    def take_page(self, page, now):
+    def apply_page(self, page, now):
         """Apply a page of the member list and record where the next one starts.
 
         Args:
@@ -201,14 +201,14 @@
         Returns:
             A tuple of `Change`.
         """
-        self._next_page = max(self._next_page, page.next_bucket)
+        self._next_bucket = max(self._next_bucket, page.next_bucket)
         return self._merge_all(page.members, now, spread=False)
 
-    def finish_pages(self):
+    def stop_fetching_pages(self):
         """Fetch no more pages, and serve pages to other daemons from now on."""
-        self._next_page = membertable.BUCKETS
+        self._next_bucket = membertable.BUCKETS
 
-    def load_join(self, endpoint):
+    def add_contact(self, endpoint):
         """Add a daemon from the log as a contact for reaching the mesh.
 
         It becomes a member only once gossip has confirmed it: the record may be
@@ -221,13 +221,13 @@
         while len(self._contacts) > self.settings.max_contacts:
             del self._contacts[next(iter(self._contacts))]
 
-    def load_leave(self, daemon):
+    def remove_contact(self, daemon):
         """Remove a contact that has left or was replaced by another daemon."""
         self._contacts.pop(daemon, None)
 
     # Results of the instructions.
 
-    def heard(self, daemon, now):
+    def record_alive(self, daemon, now):
         """Record that a daemon answered a probe or sent a message."""
         self._unconfirmed.pop(daemon, None)
         self._missed_probes.pop(daemon, None)
@@ -240,9 +240,9 @@
         self._forgotten_regions.pop(endpoint.region, None)
         self._region_answer_times[endpoint.region] = now
         if self._silent_by_region.pop(endpoint.region, None):
-            self._table.exclude_regions(self.find_cut_regions())
+            self._table.exclude_regions(self.find_unreachable_regions())
 
-    def missed(self, daemon, now):
+    def record_missed_probe(self, daemon, now):
         """Record that a daemon did not answer a probe."""
         member = self._table.get(daemon)
         if member is None:
@@ -256,12 +256,12 @@
         self._missed_probes[daemon] = self._missed_probes.get(daemon, 0) + 1
         self._unconfirmed.setdefault(daemon, now)
 
-    def deny(self, daemon, now):
+    def record_confirmed_failure(self, daemon, now):
         """Record that helpers could not reach an unresponsive daemon either."""
         self._unconfirmed.pop(daemon, None)
         self._suspect(daemon, now)
 
-    def replace(self, daemon, now):
+    def record_replaced(self, daemon, now):
         """Record that another daemon answers at this daemon's address.
 
         The instance was restarted before its absence was detected. Unless its
@@ -283,7 +283,7 @@
             now: Time in seconds.
 
         Returns:
-            A tuple of `Probe` and `ProbeVia`.
+            A tuple of `Probe` and `IndirectProbe`.
         """
         self._reset_after_pause(now)
         self._expire(now)
@@ -307,7 +307,7 @@
         chosen = self._partners.sample(count)
         return tuple(self._build_probe(endpoint, now) for endpoint in chosen)
 
-    def take_rumours(self, now, about=""):
+    def select_rumours(self, now, about=""):
         """Choose the members to send along with a message and count them as sent.
 
         Args:
@@ -327,7 +327,7 @@
             first.append(receiver)
         return self._rumours.select(first, now)
 
-    def compare(self, digests, now):
+    def find_differing_members(self, digests, now):
         """Return members of the buckets whose digests differ from a peer's.
 
         Args:
@@ -352,7 +352,7 @@
         self._random.shuffle(differing)
         return self._rumours.truncate(differing, now)
 
-    def give_page(self, bucket, now):
+    def build_page(self, bucket, now):
         """Return a page of the member list for a daemon that has just started.
 
         Args:
@@ -362,7 +362,7 @@
         Returns:
             A `MemberPage`.
         """
-        if self._next_page < membertable.BUCKETS:
+        if self._next_bucket < membertable.BUCKETS:
             # A newcomer that accepted another newcomer's partial list as complete
             # would find no endpoints for most services. They may learn of each
             # other, and continue to look for a daemon that has the whole list.
@@ -478,7 +478,7 @@
     def _record_missed_region(self, region, daemon, now):
         self._silent_by_region.setdefault(region, set()).add(daemon)
         self._region_answer_times.setdefault(region, now)
-        self._table.exclude_regions(self.find_cut_regions())
+        self._table.exclude_regions(self.find_unreachable_regions())
         self._swap_far_partner(region, daemon)
 
     def _swap_far_partner(self, region, daemon):
@@ -494,7 +494,7 @@
             if member.endpoint.region == region and member.state is not State.GONE
         ]
         other = self._random.choice(others)
-        probe_next = region not in self.find_cut_regions()
+        probe_next = region not in self.find_unreachable_regions()
         self._partners.replace(daemon, other, probe_next)
 
     def _expire_regions(self, now):
@@ -544,7 +544,10 @@
         although they had no chance to refute it.
         """
         last, self._last_plan = self._last_plan, now
-        if last is None or now - last <= PAUSED_INTERVALS * self.settings.interval:
+        if (
+            last is None
+            or now - last <= PAUSED_INTERVALS * self.settings.probe_interval
+        ):
             return
         self._unconfirmed.clear()
         self._missed_probes.clear()
@@ -599,7 +602,7 @@
             helpers = self._partners.choose_helpers(daemon, self._missed_probes)
             if helpers:
                 del self._unconfirmed[daemon]
-                instructions.append(ProbeVia(daemon, endpoint.address, helpers))
+                instructions.append(IndirectProbe(daemon, endpoint.address, helpers))
             elif self._is_alone_with(daemon) and (
                 self._missed_probes.get(daemon, 0) >= self.settings.suspect_after_misses
             ):
@@ -633,7 +636,7 @@
         self._digest_cursor = (
             self._digest_cursor + DIGESTS_PER_PROBE
         ) % membertable.BUCKETS
-        rumours = self.take_rumours(now, endpoint.daemon)
+        rumours = self.select_rumours(now, endpoint.daemon)
         return Probe(endpoint.daemon, endpoint.address, rumours, digests)
 
 
--- a/whinwinch/platform/heartbeats.py
+++ b/whinwinch/platform/heartbeats.py
@@ -35,13 +35,13 @@
     announcement = Announcement(
         identity=identity,
         # `born` is the start of this incarnation; some never send it.
-        started=read("born", _parse_started),
+        start_time_ms=read("born", _parse_started),
         sequence=read("seq", _parse_count),
         service=read("service", _parse_text),
         address=read("address", _parse_text),
         slots=read("slots", _parse_count),
         state=read("state", _parse_state),
-        warm_in=read("warmup_left", lambda text: parse_duration(text or "0ms")),
+        warmup_left=read("warmup_left", lambda text: parse_duration(text or "0ms")),
     )
     raise_findings("a heartbeat that can't be read", findings)
     return announcement
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -265,7 +265,7 @@
                 self._take_heartbeat(heartbeats.parse_heartbeat(identity, http.body))
             elif http.method == "DELETE":
                 started = heartbeats.parse_start(http.body)
-                self._announcements.leave(identity, started)
+                self._announcements.apply_leave(identity, started)
                 self._install_backend()
             else:
                 return HttpResponse(405, "Method Not Allowed")
@@ -278,7 +278,7 @@
         own = self._settings
         if announcement.service != own.service:
             raise ValueError(f"of service {announcement.service}, not {own.service}")
-        obstacle = self._announcements.take(announcement)
+        obstacle = self._announcements.apply(announcement)
         if obstacle:
             events.write(
                 "heartbeat-passed-over",
@@ -339,7 +339,7 @@
             record = keyed.Record(wanted.address, encode_endpoint(wanted))
             try:
                 await self._store.append(INSTANCES_TOPIC, record)
-                instance.directory.record(wanted.address, wanted)
+                instance.directory.apply_record(wanted.address, wanted)
             except StoreError as error:
                 events.write("record-not-written", events.Message(str(error)))
                 if error.outcome is not Outcome.DONE:
--- a/whinwinch/subsets.py
+++ b/whinwinch/subsets.py
@@ -77,7 +77,7 @@
 
     def list_preferred(self, service):
         """Return the endpoints of a service, the preferred ones first."""
-        everyone = self._directory.everyone
+        everyone = self._directory.all_endpoints
         if self._members is not everyone:
             self._members = everyone
             self._orders = {}
--- a/whinwinch/tasks.py
+++ b/whinwinch/tasks.py
@@ -105,7 +105,7 @@
         return False
     return readers.is_reader(
         parts.members.members(),
-        parts.members.own,
+        parts.members.local_member,
         streams.CONFIGURATION,
         parts.relay.find_age(now),
     )
