--- a/test/gate_load.py
+++ b/test/gate_load.py
@@ -100,7 +100,7 @@
             level = guard.find_level(payload.kind, now)
             if not payload.via and levels.refuse_below(request, level) is not None:
                 continue
-            guard.limit_wait(payload.wait)
+            guard.set_max_wait(payload.wait)
             decision = guard.offer(request, now)
             settle((decision,), now)
             if decision.verdict is gate.Verdict.WAIT:
--- a/test/models/test_gate_model.py
+++ b/test/models/test_gate_model.py
@@ -17,7 +17,7 @@
 class ByArrival(waiting.Queue):
     """Serves whoever came first, whatever its importance."""
 
-    def take_next(self):
+    def pop_next(self):
         for attempt in self._places:
             return self.remove(attempt)
         return None
@@ -29,7 +29,11 @@
     def find_lowest(self, measure):
         del measure
         return max(
-            (waiter for waiters in self._classes.values() for _, waiter in waiters),
+            (
+                waiter
+                for waiters in self._waiters_by_importance.values()
+                for _, waiter in waiters
+            ),
             key=lambda waiter: waiter.rank,
         )
 
--- a/test/test_gate.py
+++ b/test/test_gate.py
@@ -42,7 +42,7 @@
         although the refusal was foreseeable.
         """
         guard = gate.Gate(1)
-        guard.limit_wait(0.2)
+        guard.set_max_wait(0.2)
         waiting = fill(guard, 2)[-1]
         self.assertEqual(gate.Verdict.WAIT, waiting.verdict)
         self.assertAlmostEqual(0.2, waiting.expires)
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -17,9 +17,9 @@
         queue = waiting.Queue()
         for name, importance in (("a", 1), ("b", 3), ("c", 1), ("d", 3)):
             queue.add(make_waiter(name, messages.Importance(importance)))
-        served = [queue.take_next().request.attempt for _ in range(4)]
+        served = [queue.pop_next().request.attempt for _ in range(4)]
         self.assertEqual(served, ["b", "d", "a", "c"])
-        self.assertIsNone(queue.take_next())
+        self.assertIsNone(queue.pop_next())
 
     def test_earlier_due_time_is_served_before_earlier_arrival(self):
         """Under overload, the last call of a request meets first calls of others.
@@ -33,7 +33,7 @@
             queue.add(make_waiter(name, normal)._replace(due=due))
         queue.remove("new")
         queue.add(make_waiter("late", messages.Importance.LOW)._replace(due=1.0))
-        served = [queue.take_next().request.attempt for _ in range(3)]
+        served = [queue.pop_next().request.attempt for _ in range(3)]
         self.assertEqual(served, ["old", "also-new", "late"])
 
     def test_expires_and_removes(self):
--- a/whinwinch/admission.py
+++ b/whinwinch/admission.py
@@ -17,7 +17,7 @@
 
 from . import messages
 
-CLASSES = len(messages.Importance)
+IMPORTANCE_COUNT = len(messages.Importance)
 SHORT_WINDOW_SECONDS = 0.25
 LONG_WINDOW_SECONDS = 2.0
 # Levels sent within this time may still be in force at an entry daemon.
@@ -37,8 +37,8 @@
 
     def __init__(self, seconds):
         self._time_constant = seconds
-        self.counts = [0.0] * CLASSES
-        self.exposure = [0.0] * CLASSES
+        self.counts = [0.0] * IMPORTANCE_COUNT
+        self.exposure = [0.0] * IMPORTANCE_COUNT
 
     def advance(self, elapsed, widths):
         """Decay by `elapsed` seconds and add the exposure of that time.
@@ -49,7 +49,7 @@
         """
         retained = math.exp(-elapsed / self._time_constant)
         added_exposure = self._time_constant * (1.0 - retained)
-        for index in range(CLASSES):
+        for index in range(IMPORTANCE_COUNT):
             self.counts[index] *= retained
             self.exposure[index] *= retained
             self.exposure[index] += added_exposure * widths[index]
@@ -83,7 +83,7 @@
         highest = self._highest_level(now)
         if rank < highest:
             return 0.0
-        index = min(int(rank), CLASSES - 1)
+        index = min(int(rank), IMPORTANCE_COUNT - 1)
         self._short.counts[index] += 1.0
         self._long.counts[index] += 1.0
         return 1.0 / max(min(index + 1 - highest, 1.0), 0.01)
@@ -101,7 +101,7 @@
         if elapsed <= 0.0:
             return
         highest = self._highest_level(now)
-        widths = [min(max(i + 1 - highest, 0.0), 1.0) for i in range(CLASSES)]
+        widths = [min(max(i + 1 - highest, 0.0), 1.0) for i in range(IMPORTANCE_COUNT)]
         self._short.advance(elapsed, widths)
         self._long.advance(elapsed, widths)
         self._advanced_at = now
@@ -113,7 +113,7 @@
         by more than chance explains, as at the start or end of a surge.
         """
         self.advance(now)
-        return [self._estimate_rate(index) for index in range(CLASSES)]
+        return [self._estimate_rate(index) for index in range(IMPORTANCE_COUNT)]
 
     def shrink(self, factor):
         """Scale the inferred demand by a factor."""
@@ -136,7 +136,7 @@
         self.advance(now)
         other.advance(now)
         for own_window, other_window in self._pair_windows(other):
-            for index in range(CLASSES):
+            for index in range(IMPORTANCE_COUNT):
                 own_window.counts[index] += (
                     other_window.rate(index) * own_window.exposure[index]
                 )
@@ -167,7 +167,7 @@
         return history[0][1] if history else 0.0
 
 
-def find_levels(groups, capacity, corrections=(0.0,) * CLASSES):
+def find_levels(groups, capacity, corrections=(0.0,) * IMPORTANCE_COUNT):
     """Find the admission level of each group so that the admitted demand fits.
 
     Importance has priority: a class is cut only when all less important classes are
@@ -188,7 +188,7 @@
         A list of levels, one for each group.
     """
     higher_demand = 0.0
-    for index in reversed(range(CLASSES)):
+    for index in reversed(range(IMPORTANCE_COUNT)):
         remaining = max(capacity + corrections[index] - higher_demand, 0.0)
         demand = [rates[index] for rates, _ in groups]
         total = sum(demand)
--- a/whinwinch/backends/guard.py
+++ b/whinwinch/backends/guard.py
@@ -116,9 +116,9 @@
         """Return the load of the backend server as the gate sees it."""
         return self._slots.load(request)
 
-    def measure_use(self):
-        """Return the `gate.Use` of the backend server's slots since its start."""
-        return self._slots.measure_use()
+    def measure_usage(self):
+        """Return the `gate.SlotUsage` of the backend server's slots since its start."""
+        return self._slots.measure_usage()
 
     def find_level(self, route):
         """Return the admission level that requests of a route meet here."""
--- a/whinwinch/backends/slots.py
+++ b/whinwinch/backends/slots.py
@@ -55,11 +55,11 @@
             return messages.Load()
         return self._gate.load(self._loop.time(), request)
 
-    def measure_use(self):
-        """Return the `gate.Use` of the slots since they were opened."""
+    def measure_usage(self):
+        """Return the `gate.SlotUsage` of the slots since they were opened."""
         if self._gate is None:
-            return gate.Use()
-        return self._gate.measure_use(self._loop.time())
+            return gate.SlotUsage()
+        return self._gate.measure_usage(self._loop.time())
 
     def find_level(self, call):
         """Return the admission level that requests of a call meet here."""
@@ -73,7 +73,7 @@
             most_wait: Seconds for which it may wait for a slot.
         """
         now = self._loop.time()
-        self._gate.limit_wait(most_wait)
+        self._gate.set_max_wait(most_wait)
         decision = self._gate.offer(request, now)
         future = None
         if decision.verdict is gate.Verdict.WAIT:
--- a/whinwinch/gate.py
+++ b/whinwinch/gate.py
@@ -67,7 +67,7 @@
     expires: float = math.inf
 
 
-class Use(NamedTuple):
+class SlotUsage(NamedTuple):
     """Cumulative use of the slots of one backend server since its start.
 
     Attributes:
@@ -108,10 +108,10 @@
         self._ended += 1
         self._ended_seconds += now - began
 
-    def measure_use(self, now):
-        """Return the `Use` of slots by jobs of this lane."""
+    def measure_usage(self, now):
+        """Return the `SlotUsage` of slots by jobs of this lane."""
         running_seconds = self.in_service * now - self._start_time_sum
-        return Use(self._ended, self._ended_seconds + running_seconds)
+        return SlotUsage(self._ended, self._ended_seconds + running_seconds)
 
     def estimate_mean(self, now):
         """Return the mean service time in seconds, including jobs still in service.
@@ -213,7 +213,7 @@
         self._displaced = []
         self._max_wait = math.inf
 
-    def limit_wait(self, seconds):
+    def set_max_wait(self, seconds):
         """Set how long a request may wait for a slot, as configured by operators.
 
         It applies to requests that arrive from now on and limits the length of the
@@ -340,10 +340,12 @@
             limit=self._limit.value,
         )
 
-    def measure_use(self, now):
-        """Return the `Use` of all slots."""
-        uses = [lane.measure_use(now) for lane in self._lanes()]
-        return Use(sum(use.ended for use in uses), sum(use.seconds for use in uses))
+    def measure_usage(self, now):
+        """Return the `SlotUsage` of all slots."""
+        usages = [lane.measure_usage(now) for lane in self._lanes()]
+        return SlotUsage(
+            sum(usage.ended for usage in usages), sum(usage.seconds for usage in usages)
+        )
 
     def find_level(self, kind, now):
         """Return the admission level of a kind of job for flows that aren't hot."""
@@ -461,7 +463,7 @@
             return ()
         decisions = list(self.expire(now))
         while (lane := self._choose_waiting_lane()) is not None:
-            waiter = lane.queue.take_next()
+            waiter = lane.queue.pop_next()
             decisions.append(self._admit(waiter.request, lane, now))
         self._control(now)
         return tuple(decisions)
--- a/whinwinch/gauges.py
+++ b/whinwinch/gauges.py
@@ -12,7 +12,7 @@
         now: Time of the loop's clock.
     """
     load = instance.guard.load()
-    use = instance.guard.measure_use()
+    usage = instance.guard.measure_usage()
     endpoint = instance.endpoint
     gauges = [
         Gauge(
@@ -25,8 +25,8 @@
             ),
         ),
         Gauge("slots", endpoint.slots),
-        Gauge("ended_total", use.ended),
-        Gauge("slot_seconds_total", use.seconds),
+        Gauge("ended_total", usage.ended),
+        Gauge("slot_seconds_total", usage.seconds),
         Gauge("in_service", load.in_service),
         Gauge("waiting", load.waiting),
         Gauge("limit", load.limit),
--- a/whinwinch/loadlog.py
+++ b/whinwinch/loadlog.py
@@ -10,7 +10,7 @@
 
 from . import events
 from .daemons import traffic
-from .gate import Use
+from .gate import SlotUsage
 
 LOG_INTERVAL_SECONDS = 1.0
 
@@ -94,7 +94,7 @@
     def __init__(self, instance, now):
         self._instance = instance
         self._time = now
-        self._use = instance.guard.measure_use()
+        self._usage = instance.guard.measure_usage()
         self._refused = collections.Counter()
         self._sent = ()
 
@@ -106,12 +106,12 @@
         """
         guard = self._instance.guard
         load, backend = guard.load(), guard.backend
-        use = guard.measure_use()
+        usage = guard.measure_usage()
         # The counters restart from 0 when the backend server is replaced.
-        before = self._use if use.ended >= self._use.ended else Use()
-        ended, slot_seconds = use.ended - before.ended, use.seconds - before.seconds
+        before = self._usage if usage.ended >= self._usage.ended else SlotUsage()
+        ended, slot_seconds = usage.ended - before.ended, usage.seconds - before.seconds
         elapsed = now - self._time
-        self._time, self._use = now, use
+        self._time, self._usage = now, usage
         return Load(
             backend.service if backend is not None else "",
             backend.slots if backend is not None else 0,
--- a/whinwinch/reportedlevels.py
+++ b/whinwinch/reportedlevels.py
@@ -16,14 +16,14 @@
 import operator
 from typing import NamedTuple
 
-from .admission import CLASSES
+from .admission import IMPORTANCE_COUNT
 
 # Levels are reported every tenth of a second. A report expires when four of the next
 # ones are missing.
 MAX_REPORT_AGE_SECONDS = 0.5
 # Shed shares are integers in thousandths, which have a short encoding.
 SHARE_SCALE = 1000
-NO_SHED_SHARES = (0,) * CLASSES
+NO_SHED_SHARES = (0,) * IMPORTANCE_COUNT
 
 
 class RouteShedding(NamedTuple):
@@ -145,7 +145,7 @@
     """Return the share of each importance that a level sheds, in thousandths."""
     return tuple(
         round(SHARE_SCALE * min(max(level - index, 0.0), 1.0))
-        for index in range(CLASSES)
+        for index in range(IMPORTANCE_COUNT)
     )
 
 
--- a/whinwinch/waiting.py
+++ b/whinwinch/waiting.py
@@ -58,7 +58,7 @@
     """Waiting requests, ordered by importance, due time and arrival."""
 
     def __init__(self):
-        self._classes = collections.defaultdict(list)
+        self._waiters_by_importance = collections.defaultdict(list)
         self._places = {}
         self._arrivals = itertools.count()
         # No waiter expires before this time. Scanning a long queue for each request
@@ -76,7 +76,7 @@
         request = waiter.request
         place = QueuePlace(int(request.importance), waiter.due, next(self._arrivals))
         self._places[request.attempt] = place
-        bisect.insort(self._classes[place.importance], (place, waiter))
+        bisect.insort(self._waiters_by_importance[place.importance], (place, waiter))
         self._earliest_expiry = min(self._earliest_expiry, waiter.expires)
 
     def remove(self, attempt):
@@ -84,14 +84,14 @@
         place = self._places.pop(attempt, None)
         if place is None:
             return None
-        waiters = self._classes[place.importance]
+        waiters = self._waiters_by_importance[place.importance]
         _, waiter = waiters.pop(bisect.bisect_left(waiters, (place,)))
         return waiter
 
-    def take_next(self):
+    def pop_next(self):
         """Remove and return the waiter to be served next, or None."""
-        for importance in sorted(self._classes, reverse=True):
-            waiters = self._classes[importance]
+        for importance in sorted(self._waiters_by_importance, reverse=True):
+            waiters = self._waiters_by_importance[importance]
             if waiters:
                 _, waiter = waiters[0]
                 return self.remove(waiter.request.attempt)
@@ -100,7 +100,8 @@
     def find_next_importance(self):
         """Return the importance of the waiter to be served next, or None."""
         return max(
-            (key for key, waiters in self._classes.items() if waiters), default=None
+            (key for key, waiters in self._waiters_by_importance.items() if waiters),
+            default=None,
         )
 
     def find_lowest(self, measure):
@@ -111,8 +112,8 @@
                 waiters of the lowest importance, the one with the smallest margin is
                 dropped.
         """
-        for importance in sorted(self._classes):
-            waiters = self._classes[importance]
+        for importance in sorted(self._waiters_by_importance):
+            waiters = self._waiters_by_importance[importance]
             if waiters:
                 return min((waiter for _, waiter in waiters), key=measure)
         return None
@@ -120,7 +121,9 @@
     def count_ahead(self, importance):
         """Return how many waiters are served before a new request of an importance."""
         return sum(
-            len(waiters) for key, waiters in self._classes.items() if key >= importance
+            len(waiters)
+            for key, waiters in self._waiters_by_importance.items()
+            if key >= importance
         )
 
     def pop_expired(self, now):
@@ -129,7 +132,7 @@
             return []
         expired = [
             waiter
-            for waiters in self._classes.values()
+            for waiters in self._waiters_by_importance.values()
             for _, waiter in waiters
             if waiter.expires <= now
         ]
@@ -143,7 +146,7 @@
         return min(
             (
                 waiter.expires
-                for waiters in self._classes.values()
+                for waiters in self._waiters_by_importance.values()
                 for _, waiter in waiters
             ),
             default=None,
