--- a/test/daemons/__init__.py
+++ b/test/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the calls and gossip between daemons."""
+"""Tests of the connections, calls and gossip between daemons."""
--- a/test/daemons/test_gossip.py
+++ b/test/daemons/test_gossip.py
@@ -1,4 +1,4 @@
-"""The gossip tasks of several daemons, joined by a network in memory."""
+"""Tests of the gossip tasks of several daemons on an in-memory network."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 def build_network(count, reaches=lambda sender, receiver: True):
-    """Return a network whose daemons know only the first one, as a contact."""
+    """Return a network in which each daemon has only the first one as a contact."""
     network = Network(reaches)
     endpoints = [rounds.build_endpoint(i, 3, 1, 4) for i in range(count)]
     for endpoint in endpoints:
@@ -41,9 +41,9 @@
         clocks.run_jumping(main())
 
     def test_change_is_pushed_within_seconds_despite_loss(self):
-        """One daemon reads a change from the log; every tenth message is lost.
+        """One daemon reads a change from the log while a tenth of messages is lost.
 
-        It has to be in force everywhere within nine seconds.
+        The change has to be in force everywhere within nine seconds.
         """
         source = random.Random(7)
 
@@ -61,9 +61,9 @@
         clocks.run_jumping(main())
 
     def test_newcomer_gets_a_long_configuration_from_peers(self):
-        """A daemon starts while the log is down.
+        """A daemon starts while the log is unavailable.
 
-        It takes the configuration from its peers, in several answers.
+        It must get the configuration from its peers, in several answers.
         """
         records = build_records(*[b"x" * 1000] * 200)
 
@@ -77,12 +77,12 @@
 
         clocks.run_jumping(main())
 
-    def test_a_successor_does_not_take_itself_for_a_peer(self):
+    def test_a_replacement_does_not_treat_itself_as_a_peer(self):
         """An instance is replaced at the same address.
 
-        The end of the log names its predecessor there, so that it asks itself
-        for the members. With its own empty list it believed itself ready, and
-        its callers were told "no-endpoint".
+        The log still lists the former daemon there, so the new one requests the
+        member list from itself. If it applied its own empty list, it would become
+        ready and answer its callers with "no-endpoint".
         """
 
         async def main():
@@ -95,7 +95,7 @@
 
         clocks.run_jumping(main())
 
-    def test_dead_daemon_is_taken_out_by_helpers_word(self):
+    def test_dead_daemon_is_removed_when_helpers_confirm_it(self):
         async def main():
             network, endpoints = build_network(6)
             victim = endpoints[4]
@@ -115,11 +115,11 @@
 
         clocks.run_jumping(main())
 
-    def test_cut_off_daemon_blames_nobody(self):
-        """A daemon's own network is cut; none of its messages arrive.
+    def test_cut_off_daemon_suspects_nobody(self):
+        """A daemon loses its network, so that none of its messages arrive.
 
-        Its helpers are silent too, and silence is no word against others: after
-        the cut it still knows everyone.
+        Its helpers don't answer either, which must not count as a confirmed failure
+        of others: it must still list all members as alive afterwards.
         """
         cut = set()
 
@@ -127,14 +127,14 @@
             network, endpoints = build_network(
                 6, lambda a, b: a not in cut and b not in cut
             )
-            lonely = network.daemons[endpoints[5].address]
+            isolated = network.daemons[endpoints[5].address]
 
             async def steps():
                 daemons = network.daemons.values()
                 await wait_for(lambda: {len(d.members) for d in daemons} == {6})
                 cut.add(endpoints[5].address)
                 await asyncio.sleep(60.0)
-                states = {m.state for m in lonely.members.members()}
+                states = {m.state for m in isolated.members.members()}
                 self.assertEqual(states, {State.ALIVE})
                 cut.clear()
                 await wait_for(lambda: {len(d.members) for d in daemons} == {6})
@@ -143,7 +143,7 @@
 
         clocks.run_jumping(main())
 
-    def test_restart_at_the_same_address_takes_the_former_out_at_once(self):
+    def test_restart_at_the_same_address_removes_the_former_daemon_at_once(self):
         async def main():
             network, endpoints = build_network(4)
 
@@ -167,8 +167,8 @@
         clocks.run_jumping(main())
 
 
-class WireTest(unittest.TestCase):
-    def test_members_survive_the_wire(self):
+class EncodingTest(unittest.TestCase):
+    def test_members_are_unchanged_after_encoding_and_decoding(self):
         endpoint = rounds.build_endpoint(3)
         for state in (State.ALIVE, State.LEAVING):
             leaving = state is State.LEAVING
@@ -176,16 +176,16 @@
             packed = gossip.pack_member(member)
             self.assertEqual(gossip.unpack_members([packed]), (member,))
 
-    def test_unknown_state_is_passed_over(self):
-        """A newer daemon sends a state that this one doesn't know.
+    def test_member_with_unknown_state_is_skipped(self):
+        """A daemon of a newer release sends a state that this one doesn't know.
 
-        The rest of the message still counts.
+        The rest of the message must still be applied.
         """
         known = gossip.pack_member(Member(rounds.build_endpoint(3)))
-        strange = peer_pb2.Member(daemon="x", state="resting", version=1)
-        self.assertEqual(len(gossip.unpack_members([strange, known])), 1)
+        unknown = peer_pb2.Member(daemon="x", state="resting", version=1)
+        self.assertEqual(len(gossip.unpack_members([unknown, known])), 1)
 
-    def test_estimated_bytes_are_near_the_real_ones(self):
+    def test_estimated_size_is_close_to_the_encoded_size(self):
         endpoint = rounds.build_endpoint(3)
         for state in membertable.State:
             member = Member(endpoint, state, 300)
--- a/test/daemons/test_links.py
+++ b/test/daemons/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the connections between daemons, while they break."""
+"""Tests of the connections between daemons, also when they break."""
 
 import asyncio
 import math
@@ -84,13 +84,13 @@
         self.cancelled = []
         self.hold = asyncio.Event()
         self.hold.set()
-        self.told = []
+        self.reports = []
         self.levels = []
         self.tokens = ("",)
-        self.shown = 0
+        self.token_checks = 0
         await self.start_called("d1", 0)
         hello = frames.Hello("caller-1", "127.0.0.1:1")
-        self.peers = links.Peers(hello, lambda *news: self.told.append(news))
+        self.peers = links.Peers(hello, lambda *news: self.reports.append(news))
         self.peer = self.peers.find(f"127.0.0.1:{self.port}")
         self.keeping = asyncio.create_task(self.peers.keep())
         self.addAsyncCleanup(self.end)
@@ -102,7 +102,7 @@
             self.refuse,
             self.answer_gossip,
             self.admits,
-            take_relayed=lambda *told: self.levels.append(told),
+            take_relayed=lambda *report: self.levels.append(report),
         )
         self.called.news = frames.News(Endpoint("x", "x", "s"))
         self.port = await self.called.listen("127.0.0.1", port)
@@ -125,7 +125,7 @@
         return Answer(request.attempt, Outcome.COMPLETED, body=request.body)
 
     def admits(self, token):
-        self.shown += 1
+        self.token_checks += 1
         return token in self.tokens
 
     async def answer_gossip(self, data):
@@ -155,9 +155,10 @@
         self.assertEqual(len(self.called.sessions), 1)
 
     async def test_reset_connection_loses_and_repeats_nothing(self):
-        """A switch resets the connection while calls are out on it.
+        """A switch resets the connection while calls are pending on it.
 
-        Callers would be told unknown of each payout, or it would run twice.
+        Without resuming the calls, each payout would be reported as unknown or would
+        run twice.
         """
         self.hold.clear()
         calls = [
@@ -173,58 +174,59 @@
         self.assertEqual(len(self.ran), 5)
 
     async def test_lost_and_regained_connections_are_logged(self):
-        """A switch resets connections; on-call has to see which, and for how long."""
+        """A switch resets connections; operators must see which, and for how long."""
         written = unittest.mock.Mock(lost=0)
         events.install(written)
         self.addCleanup(events.install, events.Silence())
         await self.peer.call(build_request(1))
         self.hold.clear()
-        asking = asyncio.create_task(self.peer.call(build_request(2)))
+        pending = asyncio.create_task(self.peer.call(build_request(2)))
         await asyncio.sleep(0.02)
         for session in tuple(self.called.sessions):
             session.transport.abort()
         await asyncio.sleep(0.2)
         self.hold.set()
-        await asking
-        lines = [call.args[1] for call in written.sample.call_args_list]
-        self.assertEqual([line.state for line in lines], ["lost", "regained"])
-        self.assertEqual([line.calls for line in lines], [1, 1])
+        await pending
+        logged = [call.args[1] for call in written.sample.call_args_list]
+        self.assertEqual([event.state for event in logged], ["lost", "regained"])
+        self.assertEqual([event.calls for event in logged], [1, 1])
 
-    async def test_answer_lost_with_its_connection_is_given_again(self):
+    async def test_answer_lost_with_its_connection_is_sent_again(self):
         self.hold.clear()
         call = asyncio.create_task(self.peer.call(build_request(1)))
         await self.wait_until(lambda: self.ran)
         self.abort_sessions()
-        # The answer is ready before the caller is back.
+        # The answer is ready before the caller has reconnected.
         self.hold.set()
         self.assertIs((await call).outcome, Outcome.COMPLETED)
         self.assertEqual(self.ran, ["a1"])
 
-    async def test_call_that_comes_again_after_it_was_forgotten(self):
-        """A call that was held up for long comes when its answer is dropped.
+    async def test_call_repeated_after_its_record_was_dropped_is_not_run(self):
+        """A delayed copy of a call arrives after the record of the call was dropped.
 
-        Run again, a payout would be made twice.
+        If it ran again, a payout would be made twice.
         """
         await self.peer.call(build_request(1))
         call = frames.Call(1, build_request(1))
-        with unittest.mock.patch.object(exchange, "KEEP_SECONDS", 0.0):
-            await asyncio.sleep(2 * exchange.TICK_SECONDS)
-        self.called.take_call(self.called.find_caller("caller-1"), call)
+        with unittest.mock.patch.object(exchange, "REPLY_RETENTION_SECONDS", 0.0):
+            await asyncio.sleep(2 * exchange.CLEANUP_INTERVAL_SECONDS)
+        self.called.handle_call(self.called.get_or_create_caller("caller-1"), call)
         await asyncio.sleep(0.02)
         self.assertEqual(self.ran, ["a1"])
 
-    async def test_cancelled_call_that_comes_late_is_not_run(self):
-        """A call is held up in the network, and its cancellation comes first."""
-        caller = self.called.find_caller("caller-1")
+    async def test_call_that_arrives_after_its_cancellation_is_not_run(self):
+        """A call is delayed in the network, and its cancellation arrives first."""
+        caller = self.called.get_or_create_caller("caller-1")
         self.called.cancel(caller, 7)
-        self.called.take_call(caller, frames.Call(7, build_request(7)))
+        self.called.handle_call(caller, frames.Call(7, build_request(7)))
         await asyncio.sleep(0.02)
         self.assertEqual(self.ran, [])
 
-    async def test_daemon_that_starts_anew(self):
-        """The called daemon is killed and started while a call is out.
+    async def test_call_to_a_daemon_that_restarts_is_unknown(self):
+        """The called daemon is killed and restarted while a call is pending.
 
-        The new one knows nothing of it: the outcome is unknown, and at once.
+        The new process has no record of the call, so its outcome must be reported as
+        unknown at once.
         """
         self.hold.clear()
         call = asyncio.create_task(self.peer.call(build_request(1)))
@@ -237,8 +239,11 @@
         self.assertIs(answer.outcome, Outcome.UNKNOWN)
         self.assertEqual(self.ran, ["a1"])
 
-    async def test_daemon_that_is_gone(self):
-        """The called daemon is killed; nobody listens at its address any more."""
+    async def test_calls_to_a_daemon_that_is_gone(self):
+        """The called daemon is killed, and nothing listens at its address any more.
+
+        The pending call is unknown; a later one is reported as not run.
+        """
         self.hold.clear()
         call = asyncio.create_task(self.peer.call(build_request(1)))
         await self.wait_until(lambda: self.ran)
@@ -248,7 +253,7 @@
         self.assertEqual(answer.outcome, Outcome.NOT_RUN)
         self.assertEqual(answer.reason, Reason.NOT_SENT)
 
-    async def test_caller_that_gives_up(self):
+    async def test_cancelled_call_is_cancelled_at_the_called_daemon(self):
         self.hold.clear()
         call = asyncio.create_task(self.peer.call(build_request(1)))
         await self.wait_until(lambda: self.ran)
@@ -256,8 +261,8 @@
         await self.wait_until(lambda: self.cancelled)
         self.assertEqual(self.cancelled, ["a1"])
 
-    async def test_no_answer_by_the_deadline(self):
-        # Connected before: else the time may be over before anything is sent.
+    async def test_call_without_an_answer_by_the_deadline_is_unknown(self):
+        # Connect first: otherwise the deadline may pass before anything is sent.
         await self.peer.call(build_request(0))
         self.hold.clear()
         answer = await self.peer.call(build_request(1, 0.05))
@@ -266,9 +271,9 @@
         await self.wait_until(lambda: self.cancelled)
 
     async def test_silent_connection_is_replaced(self):
-        """A connection falls silent without a reset; new ones work.
+        """A connection falls silent without a reset, while new ones work.
 
-        Only an unanswered ping shows it. The call goes on over a new one.
+        Only an unanswered ping reveals this. The call must continue on a new one.
         """
         self.hold.clear()
         call = asyncio.create_task(self.peer.call(build_request(1)))
@@ -281,18 +286,18 @@
         self.assertIs((await call).outcome, Outcome.COMPLETED)
         self.assertEqual(self.ran, ["a1"])
 
-    async def test_a_wrong_token_runs_nothing(self):
-        """A program that isn't of this mesh reaches the port for daemons."""
+    async def test_calls_with_a_wrong_token_are_not_run(self):
+        """A program that doesn't belong to the mesh connects to the peer port."""
         self.tokens = ("token-of-the-mesh",)
         answer = await self.peer.call(build_request(1))
         self.assertIsNot(answer.outcome, Outcome.COMPLETED)
         with self.assertRaises(ConnectionError):
             await self.peer.ask(b"who is there?")
         self.assertEqual(self.ran, [])
-        # Not as often as the network lets it: each costs both sides a connection.
-        self.assertLess(self.shown, 2 * links.MOST_SHORT_LIVES)
+        # The caller must back off, since each attempt costs both sides a connection.
+        self.assertLess(self.token_checks, 2 * links.MAX_SHORT_CONNECTIONS)
 
-    async def test_the_right_token_is_let_in_and_shown_to_nobody(self):
+    async def test_the_right_token_is_accepted_and_not_sent_to_callers(self):
         self.tokens = ("token-of-the-mesh",)
         hello = frames.Hello("caller-2", "127.0.0.1:3", "token-of-the-mesh")
         peers = links.Peers(hello, lambda *news: None)
@@ -301,11 +306,11 @@
         self.assertIs(answer.outcome, Outcome.COMPLETED)
         self.assertEqual(self.called.hello.token, "")
 
-    async def test_resets_in_a_row_leave_the_daemon_within_reach(self):
-        """A switch resets connections again and again, for a fifth of a second.
+    async def test_consecutive_resets_cause_no_backoff(self):
+        """A switch resets connections repeatedly for a fifth of a second.
 
-        Held for a daemon that lets nobody in, its endpoint would be passed over,
-        and calls would fail that find no other.
+        If the daemon were treated like one that rejects connections, its endpoint
+        would be excluded, and calls without another endpoint would fail.
         """
         for _ in range(6):
             self.peer.connect()
@@ -318,28 +323,31 @@
         answers = await asyncio.gather(self.peer.ask(b"abc"), self.peer.ask(b"12"))
         self.assertEqual(answers, [b"cba", b"21"])
 
-    async def test_gossip_of_a_lost_connection_has_failed(self):
-        """A switch resets the connection while gossip waits for its answer.
+    async def test_pending_gossip_fails_when_its_connection_is_lost(self):
+        """A switch resets the connection while a gossip message awaits its answer.
 
-        Its sender must not wait for ever: the daemon would stop to probe.
+        If its sender waited for ever, the daemon would stop probing.
         """
         self.hold.clear()
-        asking = asyncio.create_task(self.peer.ask(b"abc"))
+        pending = asyncio.create_task(self.peer.ask(b"abc"))
         await self.wait_until(lambda: self.called.sessions and self.peer.is_up)
         await asyncio.sleep(0.02)
         self.abort_sessions()
         with self.assertRaises(ConnectionError):
-            await asking
+            await pending
 
-    async def test_gossip_that_is_not_understood_ends_nothing(self):
-        """A daemon of another version sends what this one can't read."""
+    async def test_invalid_gossip_does_not_end_the_connection(self):
+        """A daemon of another release sends a message that this one can't decode."""
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.1):
                 await self.peer.ask(b"no gossip")
         self.assertEqual(await self.peer.ask(b"abc"), b"cba")
 
-    async def test_connections_that_nobody_uses_are_closed(self):
-        """Gossip changes its partners for weeks, and instances are replaced."""
+    async def test_unused_connections_are_closed(self):
+        """Gossip changes its partners for weeks, and instances are replaced.
+
+        Without this a daemon would accumulate connections.
+        """
         await self.peer.call(build_request(1))
         now = asyncio.get_running_loop().time()
         self.peers.drop_unused(now + links.UNUSED_SECONDS)
@@ -347,9 +355,10 @@
         await self.wait_until(lambda: not self.called.sessions)
 
     async def test_departed_daemon_is_forgotten(self):
-        """Instances are replaced by the hundred each day.
+        """Hundreds of instances are replaced each day.
 
-        Kept, their addresses would fill the memory and be tried for ever.
+        Without this their addresses would fill the memory, and the daemon would try
+        to connect to them for ever.
         """
         self.peers.find("127.0.0.1:9")
         self.peers.forget("127.0.0.1:9")
@@ -360,15 +369,15 @@
         self.called.tell(frames.News(Endpoint("x", "x", "s", leaving=True)))
         cuts = (reportedlevels.RouteShedding("c", (1000, 500, 0, 0)),)
         self.called.tell_all(frames.LevelSum(True, cuts))
-        await self.wait_until(lambda: len(self.told) == 3)
-        leaving = [news.endpoint.leaving for _, news in self.told[:2]]
+        await self.wait_until(lambda: len(self.reports) == 3)
+        leaving = [news.endpoint.leaving for _, news in self.reports[:2]]
         self.assertEqual(leaving, [False, True])
-        self.assertEqual(self.told[2][1], frames.LevelSum(True, cuts))
+        self.assertEqual(self.reports[2][1], frames.LevelSum(True, cuts))
 
-    async def test_levels_told_by_a_caller(self):
-        """A daemon tells its relay its levels over its own connection.
+    async def test_levels_reported_by_a_caller(self):
+        """A daemon reports its levels to its relay over its own connection.
 
-        Lost there, the level of a full service would reach nobody.
+        If they were lost, the level of an overloaded service would reach no caller.
         """
         levels = frames.Levels((("c", 1.5),))
         await self.peer.call(build_request(1))
@@ -376,28 +385,26 @@
         await self.wait_until(lambda: self.levels)
         self.assertEqual(self.levels, [("127.0.0.1:1", levels)])
 
-    async def test_only_those_that_want_it_are_told(self):
+    async def test_message_is_sent_to_the_selected_daemons_only(self):
         await self.peer.call(build_request(1))
-        told = len(self.told)
-        whole = frames.LevelSum(True, ())
-        self.called.tell_all(whole, lambda address: address != "127.0.0.1:1")
+        count = len(self.reports)
+        total = frames.LevelSum(True, ())
+        self.called.tell_all(total, lambda address: address != "127.0.0.1:1")
         self.called.tell_all(frames.LevelSum(False, ()))
-        await self.wait_until(lambda: len(self.told) > told)
-        self.assertEqual(self.told[told][1], frames.LevelSum(False, ()))
+        await self.wait_until(lambda: len(self.reports) > count)
+        self.assertEqual(self.reports[count][1], frames.LevelSum(False, ()))
 
 
 class FramesTest(unittest.TestCase):
-    def test_bytes_that_are_no_message(self):
-        """Something else connects to the port for daemons."""
+    def test_invalid_bytes_are_an_error(self):
+        """A program with another protocol connects to the peer port."""
         for data in (b"GET / HTTP/1.1\r\n", b"\x91\x63", b"\xc1", b"\x92\x01\x01"):
             with self.subTest(data), self.assertRaises(frames.FrameError):
                 list(frames.decode_frames(frames.build_unpacker(), data, 0.0))
 
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(REQUESTS)
-    def test_a_request_survives_and_its_deadline_moves_to_the_other_clock(
-        self, request
-    ):
+    def test_a_request_is_unchanged_except_for_times_of_the_other_clock(self, request):
         data = frames.encode_frame(frames.Call(7, request), now=100.0)
         unpacker = frames.build_unpacker()
         (call,) = frames.decode_frames(unpacker, data, 5000.0)
@@ -408,21 +415,21 @@
 
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(ANSWERS)
-    def test_an_answer_survives(self, answer):
+    def test_an_answer_is_unchanged_after_encoding_and_decoding(self, answer):
         data = frames.encode_frame(frames.Reply(7, answer))
         (reply,) = frames.decode_frames(frames.build_unpacker(), data, 0.0)
         self.assertEqual(answer, reply.answer)
 
-    def test_an_outcome_of_another_version_is_an_error(self):
+    def test_an_unknown_outcome_is_an_error(self):
         fields = ["a", 9, 0, 200, [], b"", 0, 0.0, False, [0.0, 0.0, 0, 0, 0], False]
         data = msgpack.packb((2, 7, fields))
         with self.assertRaises(frames.FrameError):
             list(frames.decode_frames(frames.build_unpacker(), data, 0.0))
 
-    def test_topic_frames_that_are_garbage(self):
-        """A peer with a fault sends records whose offsets or values are none.
+    def test_invalid_topic_frames_are_an_error(self):
+        """A faulty peer sends records with invalid offsets or values.
 
-        Taken, they would bring the copy of a topic to where the log never was.
+        If they were applied, the copy of a topic would differ from the log.
         """
         number = frames.KINDS.index(frames.TopicRecords)
         end = frames.KINDS.index(frames.TopicEnd)
@@ -440,14 +447,14 @@
             with self.subTest(fields), self.assertRaises(frames.FrameError):
                 list(frames.decode_frames(frames.build_unpacker(), data, 0.0))
 
-    def test_records_of_a_topic_survive(self):
+    def test_topic_records_are_unchanged_after_encoding_and_decoding(self):
         record = keyed.Record("k", b"v", 4)
         sent = frames.TopicRecords("t", 2, 5, (record,))
         data = frames.encode_frame(sent)
-        (got,) = frames.decode_frames(frames.build_unpacker(), data, 0.0)
-        self.assertEqual(sent, got)
+        (decoded,) = frames.decode_frames(frames.build_unpacker(), data, 0.0)
+        self.assertEqual(sent, decoded)
 
-    def test_time_left_travels(self):
+    def test_remaining_time_is_sent_instead_of_the_deadline(self):
         request = Request(
             "a", "r", "s", "c", "GET", "/", Importance.LOW, 12.5, due=11.0
         )
--- a/test/http1/__init__.py
+++ b/test/http1/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `http1`."""
+"""Tests of the HTTP/1.1 client and server."""
--- a/test/http1/test_fuzz.py
+++ b/test/http1/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Requests cut and damaged at random: read the same way, or refused."""
+"""Fuzz tests of requests and messages split or damaged at random places."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 
 class Transport:
-    """Takes what a connection writes."""
+    """Fake transport that records what a connection writes."""
 
     def __init__(self):
         self.written = b""
@@ -48,11 +48,11 @@
 
 
 async def feed(pieces):
-    """Feed a connection; return the requests that it read, and what it wrote."""
-    seen = []
+    """Feed a server connection; return the requests read and the bytes written."""
+    requests = []
 
     async def answer(http, sender):
-        seen.append(http)
+        requests.append(http)
         return messages.HttpResponse(200, "OK", (), http.body)
 
     served = server.Server(answer, server.Limits(body_bytes=100))
@@ -61,14 +61,14 @@
     connection.connection_made(transport)
     for piece in pieces:
         connection.data_received(piece)
-        # Each request is a task; two turns of the loop serve it.
+        # Each request is a task, which two iterations of the loop complete.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
     connection.connection_lost(None)
-    return seen, transport.written
+    return requests, transport.written
 
 
-def form(number, body, is_chunked):
+def build_request_bytes(number, body, is_chunked):
     """Return the bytes of a request."""
     head = b"POST /%d HTTP/1.1\r\nHost: h\r\n" % number
     if is_chunked:
@@ -77,8 +77,8 @@
     return head + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def cut(data, places):
-    """Return the pieces of data between some places."""
+def split(data, places):
+    """Return data split at some places."""
     edges = [0, *sorted(min(place, len(data)) for place in places), len(data)]
     return [data[a:b] for a, b in itertools.pairwise(edges)]
 
@@ -86,12 +86,14 @@
 class HttpFuzzTest(unittest.TestCase):
     @FUZZ
     @given(BODIES, st.booleans(), CUTS)
-    def test_where_the_network_cuts_makes_no_difference(self, bodies, chunked, cuts):
-        data = b"".join(form(n, body, chunked) for n, body in enumerate(bodies))
-        seen, written = asyncio.run(feed([*cut(data, cuts), b""]))
-        self.assertEqual([http.body for http in seen], bodies)
+    def test_split_requests_are_read_like_whole_ones(self, bodies, chunked, cuts):
+        data = b"".join(
+            build_request_bytes(n, body, chunked) for n, body in enumerate(bodies)
+        )
+        requests, written = asyncio.run(feed([*split(data, cuts), b""]))
+        self.assertEqual([http.body for http in requests], bodies)
         self.assertEqual(
-            [http.target for http in seen], [f"/{n}" for n, _ in enumerate(bodies)]
+            [http.target for http in requests], [f"/{n}" for n, _ in enumerate(bodies)]
         )
         self.assertEqual(written.count(b"HTTP/1.1 200"), len(bodies))
 
@@ -99,18 +101,20 @@
     @given(
         BODIES, st.booleans(), st.integers(0, 400), st.binary(min_size=1, max_size=3)
     )
-    def test_damaged_bytes_never_show_one_request_as_more(
+    def test_damaged_bytes_never_turn_one_request_into_several(
         self, bodies, chunked, place, damage
     ):
-        """Some bytes are changed on their way.
+        """Some bytes are changed in transit.
 
-        Read as another request, a part of one caller's body would be run for it.
+        A part of a request's body must not be read and run as another request.
         """
-        data = b"".join(form(n, body, chunked) for n, body in enumerate(bodies))
+        data = b"".join(
+            build_request_bytes(n, body, chunked) for n, body in enumerate(bodies)
+        )
         place = min(place, len(data))
         changed = data[:place] + damage + data[place + len(damage) :]
-        seen, written = asyncio.run(feed([changed]))
-        self.assertLessEqual(len(seen), len(bodies))
+        requests, written = asyncio.run(feed([changed]))
+        self.assertLessEqual(len(requests), len(bodies))
         answers = written.count(b"HTTP/1.1 ")
         self.assertLessEqual(answers, len(bodies) + 1)
         self.assertEqual(written.count(b"HTTP/1.1 500"), 0)
@@ -120,7 +124,7 @@
     @FUZZ
     @given(st.binary(max_size=60))
     def test_any_bytes_are_messages_or_an_error(self, data):
-        """Something that speaks another language connects to a daemon's port."""
+        """A program with another protocol connects to a daemon's peer port."""
         with contextlib.suppress(frames.FrameError):
             for frame in frames.decode_frames(frames.build_unpacker(), data, 0.0):
                 self.assertIn(type(frame), frames.KINDS)
--- a/test/http1/test_server.py
+++ b/test/http1/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the serving side of HTTP/1.1."""
+"""Tests of the HTTP/1.1 server."""
 
 import asyncio
 import unittest
@@ -38,16 +38,17 @@
         return reader, writer
 
     async def exchange(self, data):
-        """Send bytes and return all that comes until the connection is closed."""
+        """Send bytes and return all bytes received until the connection is closed."""
         reader, writer = await self.connect()
         writer.write(data)
         async with asyncio.timeout(10):
             return await reader.read()
 
-    async def test_pipelined_answers_keep_their_order(self):
-        """Three requests come at once and the first takes longest.
+    async def test_pipelined_responses_keep_their_order(self):
+        """Three requests arrive at once, and the first takes longest.
 
-        Its caller would take the second answer for the first one's.
+        If the second response were sent first, the caller would match it to the
+        first request.
         """
         self.gates["/1"] = asyncio.Event()
         reader, writer = await self.connect()
@@ -62,10 +63,10 @@
             bodies.append(await reader.readexactly(2))
         self.assertEqual(bodies, [b"/1", b"/2", b"/3"])
 
-    async def test_caller_that_hangs_up_cancels_its_request(self):
-        """A caller closes its connection while its request is out.
+    async def test_disconnecting_caller_cancels_its_request(self):
+        """A caller closes its connection while its request is pending.
 
-        Work for it would go on to the end, for nobody.
+        Without the cancellation the work would go on although nobody needs it.
         """
         self.gates["/1"] = asyncio.Event()
         _, writer = await self.connect()
@@ -77,11 +78,11 @@
             await asyncio.sleep(0.001)
         self.assertEqual(self.cancelled, ["/1"])
 
-    async def test_request_cut_off_half_way_is_told_so(self):
-        """A caller is cut off half way through its request.
+    async def test_truncated_request_is_rejected(self):
+        """A caller's connection ends in the middle of its request.
 
-        Handed on, the backend server would act on half an order; its caller, who
-        can still read, learns that nothing was run.
+        If the part were passed on, the backend server would act on half an order. The
+        caller, which can still read, must learn that nothing was run.
         """
         reader, writer = await self.connect()
         writer.write(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf")
@@ -91,7 +92,7 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 400"))
         self.assertEqual(self.seen, [])
 
-    async def test_what_cannot_be_read_is_answered_in_the_form_asked_for(self):
+    async def test_invalid_input_gets_the_response_of_the_refuse_function(self):
         self.server.refuse = lambda status: messages.HttpResponse(
             status, "Refused", (), b"why"
         )
@@ -99,10 +100,10 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 400 Refused"))
         self.assertTrue(answer.endswith(b"why"))
 
-    async def test_body_framed_in_two_ways_is_refused(self):
-        """A request states a length and chunks, as one that smuggles another does.
+    async def test_request_with_length_and_chunks_is_rejected(self):
+        """A request states both a length and a chunked body (request smuggling).
 
-        Two servers that believe different ones see different requests.
+        Two servers that each trust a different one read different requests.
         """
         answer = await self.exchange(
             b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
@@ -111,34 +112,34 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 400"))
         self.assertEqual(self.seen, [])
 
-    async def test_chunked_body_is_whole(self):
+    async def test_chunked_body_is_read_completely(self):
         await self.exchange(
             b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
             b"Connection: close\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\nX: y\r\n\r\n"
         )
         self.assertEqual(self.seen[0].body, b"abc")
 
-    async def test_too_large(self):
-        """A caller sends more than the operator allows; the memory is bounded."""
+    async def test_request_that_is_too_large_is_rejected(self):
+        """A caller sends more than the operator allows, which would use up memory."""
         head = b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 500 + b"\r\n\r\n"
         self.assertTrue((await self.exchange(head)).startswith(b"HTTP/1.1 431"))
         body = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n" + b"x" * 11
         self.assertTrue((await self.exchange(body)).startswith(b"HTTP/1.1 413"))
         self.assertEqual(self.seen, [])
 
-    async def test_unfinished_head_ends(self):
-        """A caller sends half a head and then nothing, and holds its connection."""
+    async def test_incomplete_headers_time_out(self):
+        """A caller sends incomplete headers and then keeps its connection open."""
         answer = await self.exchange(b"GET / HTTP/1.1\r\nHost:")
         self.assertTrue(answer.startswith(b"HTTP/1.1 408"))
 
-    async def test_idle_connection_is_closed_after_its_time(self):
+    async def test_idle_connection_is_closed_after_the_timeout(self):
         loop = asyncio.get_running_loop()
         began = loop.time()
         self.assertEqual(await self.exchange(b""), b"")
         self.assertGreaterEqual(loop.time() - began, 0.29)
 
-    async def test_fault_of_ours_is_answered(self):
-        """A request meets a fault in the daemon; the next one needs an answer too."""
+    async def test_error_in_the_handler_is_answered(self):
+        """The handler fails for one request; the next one must get a response too."""
         with self.assertLogs("absl", "ERROR"):
             answer = await self.exchange(
                 b"GET /fault HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -147,10 +148,11 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 500"))
         self.assertTrue(answer.endswith(b"/2"))
 
-    async def test_stop_answers_what_was_read(self):
-        """The daemon is told to stop while a request is out on a kept connection.
+    async def test_stop_completes_pending_requests(self):
+        """The daemon stops while a request is pending on a keep-alive connection.
 
-        Closed without an answer, nobody could say whether the request had run.
+        If the connection closed without a response, the caller could not know whether
+        the request had run.
         """
         self.gates["/1"] = asyncio.Event()
         reader, writer = await self.connect()
--- a/whinwinch/daemons/exchange.py
+++ b/whinwinch/daemons/exchange.py
@@ -1,9 +1,9 @@
-"""The called side of the connections between daemons.
+"""Server side of the connections between daemons.
 
-It remembers each attempt that it was given, under the caller's start and the
-attempt's number, until the caller can't ask for it again. An attempt that is sent
-once more over a new connection is joined to the first; without this a payout
-would run twice each time a connection is reset.
+Records each received attempt by the calling process and the attempt's number until
+the caller can no longer send it again. An attempt that is sent again over a new
+connection is matched to the recorded one; otherwise a payout would run twice each
+time a connection is reset.
 """
 
 import asyncio
@@ -15,41 +15,47 @@
 from .. import background
 from . import frames, traffic
 
-# The caller gives up its open calls 0.8 s after it lost a connection, and may
-# need some seconds to notice that one has fallen silent.
-KEEP_SECONDS = 4.0
-# Answers kept for callers that lost them: 6 kB each at 100 a second for the time
-# above are 2.4 MB; the bound holds for large ones.
-KEEP_BYTES = 16 << 20
-# A caller whose connection is gone for this long is itself gone, and nobody
-# waits for what runs on its behalf.
-ABSENT_SECONDS = 1.0
-TICK_SECONDS = 0.25
-# What daemons tell a relay, and relays each other.
+# Callers fail their open calls 0.8 s after losing a connection, and may take a few
+# seconds to detect a silent one.
+REPLY_RETENTION_SECONDS = 4.0
+# Bound on the replies retained for sending again. 6 kB replies at 100 per second
+# take 2.4 MB within the retention time; only large replies reach the bound.
+MAX_RETAINED_BYTES = 16 << 20
+# A caller that has been disconnected for this long is considered gone. Nobody waits
+# for its calls any more, so they are cancelled.
+CALLER_ABSENCE_SECONDS = 1.0
+CLEANUP_INTERVAL_SECONDS = 0.25
+# Messages that daemons send to a relay, and relays to each other.
 RELAYED_KINDS = (frames.Levels, frames.LevelSum, frames.Graph)
 
 
-class Done(NamedTuple):
-    """An answer that was given: its bytes, b"" when it was cancelled, and when."""
+class FinishedCall(NamedTuple):
+    """A call that has finished.
+
+    Attributes:
+        data: Bytes of the reply, b"" if the call was cancelled.
+        time: Time of the loop's clock at which the call finished.
+    """
 
     data: bytes
     time: float
 
 
-class Caller:
-    """One start of another daemon, and what it has asked for."""
+class CallingDaemon:
+    """The calls of one process of another daemon."""
 
     def __init__(self):
         self.session = None
+        # Time of the loop's clock at which the last connection was lost.
         self.lost = 0.0
         self.running = {}
         self.done = collections.OrderedDict()
-        # Numbers up to this one that are not known any more may have run.
-        self.forgotten = 0
+        # Attempts up to this number that have no record any more may have run.
+        self.last_forgotten = 0
 
 
 class Session(asyncio.Protocol):
-    """One accepted connection of another daemon."""
+    """A connection accepted from another daemon."""
 
     def __init__(self, exchange, loop):
         self._exchange = exchange
@@ -57,11 +63,11 @@
         self._unpacker = frames.build_unpacker()
         self._caller = None
         self.transport = None
-        # Of the daemon that has connected, once it has introduced itself.
+        # Address of the other daemon, set once its Hello has been received.
         self.address = ""
 
     def connection_made(self, transport):
-        """Introduce this daemon and its backend server."""
+        """Send this daemon's Hello and the state of its backend server."""
         self.transport = transport
         self._exchange.sessions.add(self)
         self.send(self._exchange.hello)
@@ -69,7 +75,7 @@
             self.send(self._exchange.news)
 
     def connection_lost(self, exc):
-        """Keep what runs for a while: the caller may come back."""
+        """Detach the caller; its calls go on for a while in case it reconnects."""
         self.transport = None
         self._exchange.sessions.discard(self)
         if self._caller is not None and self._caller.session is self:
@@ -77,22 +83,27 @@
             self._caller.lost = self._loop.time()
 
     def data_received(self, data):
-        """Take the messages of the other daemon."""
+        """Decode and handle the messages of the other daemon."""
         try:
             for frame in frames.decode_frames(self._unpacker, data, self._loop.time()):
                 self._receive(frame)
         except frames.FrameError as error:
-            logging.warning("a daemon sent no message: %s", error)
+            logging.warning("invalid message from a daemon: %s", error)
             self.transport.abort()
 
     def send(self, frame):
-        """Send a message."""
+        """Encode and send a message."""
         if self.transport is not None:
             data = frames.encode_frame(frame, self._loop.time())
             self.write(type(frame), data)
 
     def write(self, kind, data):
-        """Send the bytes of a message of some type."""
+        """Send an encoded message and count its bytes.
+
+        Args:
+            kind: Type of the message, one of `frames.KINDS`.
+            data: Its bytes.
+        """
         self._exchange.traffic.note(kind, self.address, len(data))
         self.transport.write(data)
 
@@ -100,19 +111,19 @@
         if isinstance(frame, frames.Hello):
             self._exchange.check_token(frame.token)
             self.address = frame.address
-            self._caller = self._exchange.find_caller(frame.daemon)
+            self._caller = self._exchange.get_or_create_caller(frame.daemon)
             self._caller.session = self
             self._exchange.greet(self.send, frame)
         elif isinstance(frame, frames.Ping):
             self.send(frames.Pong(frame.number))
         elif self._caller is None:
-            raise frames.FrameError("a call before the greeting")
+            raise frames.FrameError("message received before Hello")
         elif isinstance(frame, frames.Call):
-            self._exchange.take_call(self._caller, frame)
+            self._exchange.handle_call(self._caller, frame)
         elif isinstance(frame, frames.Cancel):
             self._exchange.cancel(self._caller, frame.number)
         elif isinstance(frame, frames.Gossip):
-            self._exchange.take_gossip(self, frame)
+            self._exchange.handle_gossip(self, frame)
         elif isinstance(frame, frames.TOPIC_KINDS):
             self._exchange.take_topic(self.send, frame)
         elif isinstance(frame, RELAYED_KINDS):
@@ -120,24 +131,23 @@
 
 
 class Exchange:
-    """What other daemons have asked this one for.
+    """Accepts connections of other daemons and serves their calls.
 
     Args:
         hello: `frames.Hello` of this daemon.
         serve: Coroutine function from `messages.Request` to `messages.Answer`.
-        refuse: Function from an attempt that may have run before and is no
-            longer known to its `messages.Answer`.
-        answer_gossip: Coroutine function from the bytes of a gossip message to
-            those of its answer, None where there is no gossip.
-        admits: Function from the token that a daemon shows to whether it is
-            let in.
-        take_topic: Function that is told one of `frames.TOPIC_KINDS`, and before it
-            a function that sends a frame back.
-        greet: Function that is told the `frames.Hello` of a daemon that has
-            connected, and before it a function that sends a frame back.
-        take_relayed: Function that is told the address of a daemon and one of
-            `RELAYED_KINDS`.
-        counted: `traffic.Traffic` that is told what is sent.
+        refuse: Function from the `messages.Request` of an attempt that may have run,
+            but whose record was dropped, to its `messages.Answer`.
+        answer_gossip: Coroutine function from the bytes of a gossip message to the
+            bytes of its answer, None if this daemon doesn't gossip.
+        admits: Function from a daemon's token to whether its connection is accepted.
+        take_topic: Function called with a function that sends a frame back, and a
+            received frame of `frames.TOPIC_KINDS`.
+        greet: Function called with a function that sends a frame back, and the
+            `frames.Hello` of a daemon that has connected.
+        take_relayed: Function called with the address of a daemon and a received
+            frame of `RELAYED_KINDS`.
+        counted: `traffic.Traffic` that counts the messages sent.
     """
 
     def __init__(
@@ -164,89 +174,93 @@
         self._background = background.Background()
         self._callers = {}
         self._listener = None
-        self._kept = 0
-        # Whoever connects has shown nothing yet and is shown no secret.
+        self._retained_bytes = 0
+        # Any program can connect and receives this Hello, so it carries no token.
         self.hello = hello._replace(token="")
         self.news = None
         self.sessions = set()
 
     async def listen(self, host, port):
-        """Accept connections of other daemons; return the port."""
+        """Accept connections of other daemons and return the port."""
         self._listener = await self._loop.create_server(
             lambda: Session(self, self._loop), host, port, reuse_address=True
         )
         return self._listener.sockets[0].getsockname()[1]
 
     def tell(self, news):
-        """Tell all connected daemons what the backend server is from now on."""
+        """Send the state of the backend server to all daemons, now and on connect."""
         self.news = news
         self.tell_all(news)
 
-    def tell_all(self, frame, wants=lambda address: True):
-        """Send a message to the connected daemons, or to those that want it."""
+    def tell_all(self, frame, is_recipient=lambda address: True):
+        """Send a message to all connected daemons, or to those selected by address."""
         data = frames.encode_frame(frame)
         for session in self.sessions:
-            if wants(session.address):
+            if is_recipient(session.address):
                 session.write(type(frame), data)
 
     def find_addresses(self):
         """Return the addresses of the connected daemons."""
         return frozenset(session.address for session in self.sessions)
 
-    def find_caller(self, daemon):
-        """Return what is remembered of one start of another daemon."""
-        return self._callers.setdefault(daemon, Caller())
+    def get_or_create_caller(self, daemon):
+        """Return the calls of another daemon's process, by its identifier."""
+        return self._callers.setdefault(daemon, CallingDaemon())
 
-    def take_call(self, caller, call):
-        """Start an attempt, or join it to what was started before."""
+    def handle_call(self, caller, call):
+        """Start an attempt, unless it has been received before.
+
+        If it is still running, its reply will be sent when it finishes. If it has
+        finished, the reply is sent again.
+        """
         number = call.number
         if number in caller.running:
             return
         done = caller.done.get(number)
         if done is not None:
-            self._write(caller, done.data)
-        elif number <= caller.forgotten:
+            self._send_reply(caller, done.data)
+        elif number <= caller.last_forgotten:
             reply = frames.Reply(number, self._refuse(call.request))
-            self._write(caller, frames.encode_frame(reply))
+            self._send_reply(caller, frames.encode_frame(reply))
         else:
             task = self._loop.create_task(self._run(caller, call))
             caller.running[number] = task
 
     def cancel(self, caller, number):
-        """Drop an attempt whose answer is no longer wanted.
+        """Cancel an attempt whose reply is no longer needed.
 
-        Remembered also where it has not come yet: over a connection that was
-        held up it may come behind its cancellation.
+        The cancellation is recorded even if the attempt hasn't been received yet: a
+        delayed connection may deliver the attempt after its cancellation.
         """
         task = caller.running.get(number)
         if task is not None:
             task.cancel()
-        caller.done.setdefault(number, Done(b"", self._loop.time()))
+        caller.done.setdefault(number, FinishedCall(b"", self._loop.time()))
 
     def check_token(self, token):
-        """Let a daemon in by the token that it shows.
+        """Check the token of a daemon that has connected.
 
         Raises:
-            FrameError: When it is the wrong one.
+            FrameError: If the token is wrong.
         """
         if not self._admits(token):
-            raise frames.FrameError("a wrong token")
+            raise frames.FrameError("wrong peer token")
 
-    def take_gossip(self, session, message):
+    def handle_gossip(self, session, message):
         """Answer a gossip message.
 
         Raises:
-            FrameError: Where there is no gossip.
+            FrameError: If this daemon doesn't gossip.
         """
         if self._answer_gossip is None:
-            raise frames.FrameError("gossip is not spoken here")
-        self._background.start(self._gossip(session, message))
+            raise frames.FrameError("this daemon does not support gossip")
+        self._background.start(self._reply_to_gossip(session, message))
 
     async def keep(self):
-        """Forget old answers and callers that are gone, for ever."""
+        """Drop expired replies and callers that are gone, until cancelled."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
-            self._forget(self._loop.time())
+            await asyncio.sleep(CLEANUP_INTERVAL_SECONDS)
+            self._clean_up(self._loop.time())
 
     def close(self):
         """Stop listening and close the connections."""
@@ -257,7 +271,7 @@
 
     @property
     def running(self):
-        """How many attempts of other daemons are under way."""
+        """Number of attempts of other daemons that are running."""
         return sum(len(caller.running) for caller in self._callers.values())
 
     async def _run(self, caller, call):
@@ -266,35 +280,40 @@
         finally:
             caller.running.pop(call.number, None)
         data = frames.encode_frame(frames.Reply(call.number, answer))
-        caller.done[call.number] = Done(data, self._loop.time())
-        self._kept += len(data)
-        self._write(caller, data)
+        caller.done[call.number] = FinishedCall(data, self._loop.time())
+        self._retained_bytes += len(data)
+        self._send_reply(caller, data)
 
-    async def _gossip(self, session, message):
+    async def _reply_to_gossip(self, session, message):
         try:
             data = await self._answer_gossip(message.data)
         except ValueError as error:
-            logging.warning("a daemon sent no gossip: %s", error)
+            logging.warning("invalid gossip message from a daemon: %s", error)
             return
         session.send(frames.GossipReply(message.number, data))
 
-    def _write(self, caller, data):
-        """Send bytes where the caller is connected; else it asks again."""
+    def _send_reply(self, caller, data):
+        """Send a reply if the caller is connected; otherwise it repeats the call."""
         session = caller.session
         if data and session is not None and session.transport is not None:
             session.write(frames.Reply, data)
 
-    def _forget(self, now):
+    def _clean_up(self, now):
         for daemon, caller in tuple(self._callers.items()):
-            while caller.done and self._is_old(next(iter(caller.done.values())), now):
+            while caller.done and self._is_expired(
+                next(iter(caller.done.values())), now
+            ):
                 number, done = caller.done.popitem(last=False)
-                caller.forgotten = max(caller.forgotten, number)
-                self._kept -= len(done.data)
-            if caller.session is None and now - caller.lost > ABSENT_SECONDS:
+                caller.last_forgotten = max(caller.last_forgotten, number)
+                self._retained_bytes -= len(done.data)
+            if caller.session is None and now - caller.lost > CALLER_ABSENCE_SECONDS:
                 for task in tuple(caller.running.values()):
                     task.cancel()
                 if not caller.done and not caller.running:
                     del self._callers[daemon]
 
-    def _is_old(self, done, now):
-        return now - done.time > KEEP_SECONDS or self._kept > KEEP_BYTES
+    def _is_expired(self, done, now):
+        return (
+            now - done.time > REPLY_RETENTION_SECONDS
+            or self._retained_bytes > MAX_RETAINED_BYTES
+        )
--- a/whinwinch/daemons/frames.py
+++ b/whinwinch/daemons/frames.py
@@ -1,9 +1,9 @@
-"""Messages between daemons on a shared connection, and their bytes.
+"""Messages between daemons and their encoding.
 
-All calls between two daemons share one connection: a call costs one small write
-on each side, many of them share a system call under load, and to cancel one is a
-message instead of a closed connection. Each message is one msgpack array; the
-first item tells its kind.
+All calls between two daemons share one connection. A call costs one small write on
+each side, several writes share a system call under load, and a call is cancelled by a
+message instead of by closing a connection. Each message is one msgpack array whose
+first item is the number of its type.
 """
 
 from typing import NamedTuple
@@ -13,21 +13,21 @@
 from .. import callgraph, messages, reportedlevels
 from ..logservice import keyed
 
-# A request and its body, an answer and its body.
-LARGEST_FRAME = 64 << 20
+# Maximum size of a message, which may contain a request or answer with its body.
+MAX_FRAME_BYTES = 64 << 20
 
 
 class FrameError(Exception):
-    """Bytes that are no message of this protocol."""
+    """Received bytes are not a valid message of this protocol."""
 
 
 class Hello(NamedTuple):
-    """The first message of either side.
+    """The first message that each side sends.
 
     Attributes:
-        daemon: Identifier of this start of the daemon.
-        address: "host:port" at which other daemons reach it.
-        token: What the calling side shows to be let in, "" for nothing.
+        daemon: Identifier of the sender's process, new after each restart.
+        address: "host:port" at which other daemons reach the sender.
+        token: Token that authenticates the connecting side, "" for none.
     """
 
     daemon: str
@@ -36,12 +36,12 @@
 
 
 class Call(NamedTuple):
-    """One attempt for the backend server beside the receiver.
+    """An attempt to be run by the receiver's backend server.
 
     Attributes:
-        number: Number of the attempt, ascending for each start of the sender.
-        request: The attempt. Its deadline is the receiver's: what travels is
-            the time left.
+        number: Number of the attempt, ascending within the sender's process.
+        request: The attempt. Its deadline and due time are sent as the remaining
+            seconds and decoded to times of the receiver's clock.
     """
 
     number: int
@@ -49,20 +49,20 @@
 
 
 class Reply(NamedTuple):
-    """The answer to the call of a number."""
+    """The answer to the `Call` with the same number."""
 
     number: int
     answer: messages.Answer
 
 
 class Cancel(NamedTuple):
-    """The answer to the call of a number is no longer wanted."""
+    """Cancels the `Call` with the same number."""
 
     number: int
 
 
 class Ping(NamedTuple):
-    """Asks for a `Pong`, to see that the connection still carries anything."""
+    """Requests a `Pong`, to check that the connection still works."""
 
     number: int
 
@@ -74,10 +74,10 @@
 
 
 class News(NamedTuple):
-    """What the sender's backend server is at present.
+    """The current state of the sender's backend server.
 
     Attributes:
-        endpoint: The backend server; without a service while none is known.
+        endpoint: The backend server; its service is "" while none is registered.
     """
 
     endpoint: messages.Endpoint
@@ -87,18 +87,18 @@
     """Admission levels of the routes that the sender's backend server serves.
 
     Attributes:
-        levels: Pairs of a route's name and its level; 0 is left out.
+        levels: Pairs of a route's name and its level; levels of 0 are omitted.
     """
 
     levels: tuple[tuple[str, float], ...]
 
 
 class LevelSum(NamedTuple):
-    """Admission levels of many daemons, added up by a relay.
+    """Shed shares of several daemons, summed by a relay.
 
     Attributes:
-        is_total: Whether of all daemons that the relay has heard of; else of those
-            that tell their levels to it.
+        is_total: True if the sum covers all daemons that the relay has reports of;
+            False if it covers only those that report to this relay directly.
         cuts: `reportedlevels.RouteShedding` tuples.
     """
 
@@ -107,31 +107,36 @@
 
 
 class Graph(NamedTuple):
-    """What is known of the calls that requests make."""
+    """The call topology that the sender has observed or received."""
 
     facts: callgraph.Topology
 
 
 class Gossip(NamedTuple):
-    """A gossip message in its own encoding; the number is the sender's."""
+    """A gossip message.
+
+    Attributes:
+        number: Number chosen by the sender, repeated in the `GossipReply`.
+        data: The encoded `GossipMessage`.
+    """
 
     number: int
     data: bytes
 
 
 class GossipReply(NamedTuple):
-    """The answer to the gossip message of a number."""
+    """The answer to the `Gossip` message with the same number."""
 
     number: int
     data: bytes
 
 
 class TopicEnd(NamedTuple):
-    """The end of a topic of the log, as the sender has just read it.
+    """Reports the end of a topic that the sender has just read from the log.
 
     Attributes:
         topic: Name of the topic.
-        end: Offset behind its last record.
+        end: Offset after its last record.
     """
 
     topic: str
@@ -139,7 +144,7 @@
 
 
 class TopicAsk(NamedTuple):
-    """Asks for the records of a topic from an offset on."""
+    """Requests the records of a topic from the offset `start` on."""
 
     topic: str
     start: int
@@ -150,8 +155,8 @@
 
     Attributes:
         topic: Name of the topic.
-        start: Offset that was asked for.
-        end: Offset behind the last record that the sender knows.
+        start: Offset that was requested.
+        end: Offset after the last record that the sender has.
         records: `keyed.Record` tuples.
     """
 
@@ -179,60 +184,62 @@
     Graph,
 )
 TOPIC_KINDS = (TopicEnd, TopicAsk, TopicRecords)
-_NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
+_KIND_NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
 _REASONS = tuple(messages.Reason)
 _REASON_NUMBERS = {reason: number for number, reason in enumerate(_REASONS)}
 _IMPORTANCES = tuple(messages.Importance)
 _OUTCOMES = tuple(messages.Outcome)
 _OUTCOME_NUMBERS = {outcome: number for number, outcome in enumerate(_OUTCOMES)}
 
-# Places of the fields that travel in another form. The tuples are taken apart by
-# place: `_replace` costs as much as the packing.
-_IMPORTANCE = messages.Request._fields.index("importance")
-_DEADLINE = messages.Request._fields.index("deadline")
-_DUE = messages.Request._fields.index("due")
-_OUTCOME = messages.Answer._fields.index("outcome")
-_REASON = messages.Answer._fields.index("reason")
-_LOAD = messages.Answer._fields.index("load")
+# Indexes of the fields that are converted for transmission. They are replaced in a
+# list, since `_replace` costs as much as the packing.
+_IMPORTANCE_INDEX = messages.Request._fields.index("importance")
+_DEADLINE_INDEX = messages.Request._fields.index("deadline")
+_DUE_INDEX = messages.Request._fields.index("due")
+_OUTCOME_INDEX = messages.Answer._fields.index("outcome")
+_REASON_INDEX = messages.Answer._fields.index("reason")
+_LOAD_INDEX = messages.Answer._fields.index("load")
 
 
 def encode_frame(frame, now=0.0):
-    """Return the bytes of a message.
+    """Return the encoded bytes of a message.
 
     Args:
-        frame: One of `KINDS`.
-        now: Time of the loop's clock, for the time that a call has left.
+        frame: Message, an instance of one of `KINDS`.
+        now: Time of the loop's clock in seconds, from which a call's remaining time
+            is computed.
     """
     kind = type(frame)
-    number = _NUMBERS[kind]
+    number = _KIND_NUMBERS[kind]
     if kind is Call:
         fields = list(frame.request)
-        fields[_DEADLINE] -= now
-        fields[_DUE] -= now
+        fields[_DEADLINE_INDEX] -= now
+        fields[_DUE_INDEX] -= now
         return msgpack.packb((number, frame.number, fields))
     if kind is Reply:
         fields = list(frame.answer)
-        fields[_OUTCOME] = _OUTCOME_NUMBERS[frame.answer.outcome]
-        fields[_REASON] = _REASON_NUMBERS[frame.answer.reason]
+        fields[_OUTCOME_INDEX] = _OUTCOME_NUMBERS[frame.answer.outcome]
+        fields[_REASON_INDEX] = _REASON_NUMBERS[frame.answer.reason]
         return msgpack.packb((number, frame.number, fields))
     return msgpack.packb((number, *frame))
 
 
 def build_unpacker():
-    """Return an unpacker that takes bytes as they come."""
-    return msgpack.Unpacker(use_list=False, max_buffer_size=LARGEST_FRAME)
+    """Return a streaming msgpack unpacker for one connection."""
+    return msgpack.Unpacker(use_list=False, max_buffer_size=MAX_FRAME_BYTES)
 
 
 def decode_frames(unpacker, data, now):
-    """Yield the messages that are complete with some more bytes.
+    """Feed received bytes and yield the messages that are now complete.
 
     Args:
-        unpacker: Of the connection, made by `build_unpacker`.
-        data: The bytes received.
-        now: Time of the loop's clock, for the deadline of a call.
+        unpacker: Unpacker of the connection, from `build_unpacker`.
+        data: Received bytes.
+        now: Time of the loop's clock in seconds, from which a call's deadline is
+            computed.
 
     Raises:
-        FrameError: When the bytes are no messages of this protocol.
+        FrameError: If the bytes are not valid messages of this protocol.
     """
     try:
         unpacker.feed(data)
@@ -251,35 +258,37 @@
     if kind is Call:
         number, values = fields
         values = list(values)
-        values[_IMPORTANCE] = _IMPORTANCES[values[_IMPORTANCE]]
-        values[_DEADLINE] += now
-        values[_DUE] += now
+        values[_IMPORTANCE_INDEX] = _IMPORTANCES[values[_IMPORTANCE_INDEX]]
+        values[_DEADLINE_INDEX] += now
+        values[_DUE_INDEX] += now
         return Call(number, messages.Request(*values))
     if kind is Reply:
         number, values = fields
         values = list(values)
-        values[_OUTCOME] = _OUTCOMES[values[_OUTCOME]]
-        values[_REASON] = _REASONS[values[_REASON]]
-        values[_LOAD] = messages.Load(*values[_LOAD])
+        values[_OUTCOME_INDEX] = _OUTCOMES[values[_OUTCOME_INDEX]]
+        values[_REASON_INDEX] = _REASONS[values[_REASON_INDEX]]
+        values[_LOAD_INDEX] = messages.Load(*values[_LOAD_INDEX])
         return Reply(number, messages.Answer(*values))
     if kind is News:
         (endpoint,) = fields
         return News(messages.Endpoint(*endpoint))
     if kind is Graph:
         ((entries, calls),) = fields
-        return Graph(_decode_facts(entries, calls))
+        return Graph(_decode_topology(entries, calls))
     if kind is LevelSum:
         is_total, cuts = fields
-        return LevelSum(bool(is_total), tuple(_decode_cut(*cut) for cut in cuts))
+        return LevelSum(
+            bool(is_total), tuple(_decode_route_shedding(*cut) for cut in cuts)
+        )
     if kind in (TopicEnd, TopicAsk):
         topic, offset = fields
-        return kind(_check_text(topic), _check_offset(offset))
+        return kind(_check_text(topic), _check_non_negative(offset))
     if kind is TopicRecords:
         topic, start, end, records = fields
         return TopicRecords(
             _check_text(topic),
-            _check_offset(start),
-            _check_offset(end),
+            _check_non_negative(start),
+            _check_non_negative(end),
             tuple(_decode_record(*record) for record in records),
         )
     return kind(*fields)
@@ -287,29 +296,29 @@
 
 def _decode_record(key, value, offset):
     if type(value) is not bytes:
-        raise ValueError("the value of a record must be bytes")
-    return keyed.Record(_check_text(key), value, _check_offset(offset))
+        raise ValueError("record value must be bytes")
+    return keyed.Record(_check_text(key), value, _check_non_negative(offset))
 
 
-def _decode_facts(entries, calls):
+def _decode_topology(entries, calls):
     edges = [callgraph.Edge(*map(_check_text, call)) for call in calls]
     return callgraph.Topology(tuple(map(_check_text, entries)), tuple(edges))
 
 
-def _decode_cut(route, cuts):
-    whole = tuple(_check_offset(cut) for cut in cuts)
-    if len(whole) != len(reportedlevels.NO_SHED_SHARES):
-        raise ValueError("a cut for each importance is wanted")
-    return reportedlevels.RouteShedding(_check_text(route), whole)
+def _decode_route_shedding(route, cuts):
+    shed_shares = tuple(_check_non_negative(cut) for cut in cuts)
+    if len(shed_shares) != len(reportedlevels.NO_SHED_SHARES):
+        raise ValueError("expected one shed share for each importance")
+    return reportedlevels.RouteShedding(_check_text(route), shed_shares)
 
 
 def _check_text(text):
     if type(text) is not str:
-        raise ValueError("must be a text")
+        raise ValueError("expected a string")
     return text
 
 
-def _check_offset(offset):
+def _check_non_negative(offset):
     if type(offset) is not int or offset < 0:
-        raise ValueError("an offset must be a whole number")
+        raise ValueError("expected a non-negative integer")
     return offset
--- a/whinwinch/daemons/gossip.py
+++ b/whinwinch/daemons/gossip.py
@@ -1,8 +1,8 @@
-"""Tasks that carry gossip between daemons.
+"""Tasks that exchange gossip messages with other daemons.
 
-They own the membership and the relay of the configuration. What to do is
-decided there; here it is sent, and what comes back is told to them. Sending is
-injected, so that all of it runs in tests without sockets.
+The membership and the relay of the configuration decide what to send. The tasks send
+it and apply the answers to both. The function that sends messages is injected, so that
+tests run all of this without sockets.
 """
 
 import asyncio
@@ -17,57 +17,60 @@
 from ..logservice import client
 from . import peer_pb2
 
-# Seconds until a daemon counts as not having answered. Across regions the way
-# there and back takes up to 0.3 s; the rest is for a busy daemon.
+# Seconds until a probe counts as unanswered. A round trip between regions takes up to
+# 0.3 s; the rest is for a busy daemon.
 PROBE_TIMEOUT = 1.0
-# A helper needs time for its own probe before it answers.
-HELPER_TIMEOUT = 2 * PROBE_TIMEOUT
-# News of the configuration go to so many partners at once. Four reach all of
-# 4,500 daemons with a chance of e^-4 to miss one, which a probe then makes up.
+# Seconds to wait for a helper, which makes a probe of its own before it answers.
+INDIRECT_PROBE_TIMEOUT = 2 * PROBE_TIMEOUT
+# Number of daemons that a configuration change is pushed to. With four, a push reaches
+# all of 4,500 daemons, each missed with a probability of e^-4; probes reach the rest.
 PUSH_PARTNERS = 4
-# Seconds between two pushes, so that many changes at once share messages.
+# Minimum seconds between two pushes, so that simultaneous changes share messages.
 PUSH_INTERVAL = 0.25
-PUSH_BYTES = 16 * 1024
-# Bounds in seconds between two attempts to get the member list.
-FETCH_PAUSE = (0.1, 0.5)
-# Seconds without meeting a peer that has the member list after which a daemon
-# that knows peers stops asking. In the restart of a zone gossip brings somebody
-# of another zone well within that; the start of a whole mesh waits it out.
-FETCH_PATIENCE = 4.0
+# Maximum size of the records in one push.
+MAX_PUSH_BYTES = 16 * 1024
+# Bounds of the random interval, in seconds, between two requests for a page of the
+# member list.
+FETCH_INTERVAL_BOUNDS = (0.1, 0.5)
+# Seconds without an answer from a peer that has the member list after which a daemon
+# that knows peers stops fetching it. When a zone restarts, gossip finds a daemon of
+# another zone well before; when a whole mesh starts, this time is waited in full.
+FETCH_TIMEOUT = 4.0
 
 
 class SendError(errors.UserError):
-    """A message to another daemon was not answered."""
+    """Another daemon didn't answer a gossip message."""
 
 
 class Gossip(NamedTuple):
-    """What the gossip tasks of one daemon work on.
+    """The state shared by the gossip tasks of one daemon.
 
     Attributes:
         members: The `membership.Membership`.
         relay: The `logservice.relay.Relay`.
-        send: Awaitable function of an address and a `GossipMessage`; returns a
-            `GossipAnswer` or raises `SendError`.
-        wake: Set when news should go out at once.
-        behind: Queue of endpoints that have a newer configuration.
-        notify: Called with the tuple of `membership.Change` after news.
+        send: Coroutine function from an address and a `GossipMessage` to a
+            `GossipAnswer`; raises `SendError`.
+        wake: Event that is set to push configuration changes at once.
+        newer_peers: Queue of endpoints whose daemons have a newer configuration.
+        notify: Function called with a tuple of `membership.Change` when received
+            updates have changed the membership.
     """
 
     members: membership.Membership
     relay: object
     send: Callable
     wake: asyncio.Event
-    behind: asyncio.Queue
+    newer_peers: asyncio.Queue
     notify: Callable
 
 
 def build_gossip(members, relay, send, notify=lambda changes: None):
-    """Return a `Gossip`; to be called on the event loop's thread."""
+    """Return a `Gossip`; must be called on the event loop's thread."""
     return Gossip(members, relay, send, asyncio.Event(), asyncio.Queue(8), notify)
 
 
 async def run_gossip(gossip, random=random_module):
-    """Probe, push and catch up until cancelled."""
+    """Run the gossip tasks until cancelled."""
     async with asyncio.TaskGroup() as group:
         group.create_task(_probe_periodically(gossip, group, random))
         group.create_task(_push_when_woken(gossip, group))
@@ -76,7 +79,7 @@
 
 
 async def answer_gossip(gossip, message):
-    """Take in a message from another daemon and answer it.
+    """Apply a message from another daemon and return the answer.
 
     Args:
         gossip: The `Gossip`.
@@ -86,10 +89,10 @@
         A `GossipAnswer`.
     """
     now = _read_clock()
-    _take_news(gossip, message)
+    _apply_message(gossip, message)
     gossip.members.record_alive(message.sender, now)
     if message.configuration_offset > gossip.relay.offset:
-        _ask_later(gossip, message.sender)
+        _schedule_catch_up(gossip, message.sender)
     answer = peer_pb2.GossipAnswer(
         sender=gossip.members.local_member.endpoint.daemon,
         configuration_offset=gossip.relay.offset,
@@ -102,17 +105,17 @@
         answer.next_bucket = page.next_bucket
         return answer
     digests = membership.Digests(message.bucket, tuple(message.digests))
-    answer.members.extend(map(pack_member, _choose_news(gossip, message, digests)))
+    answer.members.extend(map(pack_member, _select_updates(gossip, message, digests)))
     if message.probe:
         answer.probe_answered = await _try_probe(gossip, message.probe)
     return answer
 
 
 def pack_member(member):
-    """Return a member as it goes over the wire.
+    """Return the `peer_pb2.Member` that encodes a member.
 
-    Bad news go without the endpoint, which whoever it concerns knows already;
-    the death of a whole zone then takes half the bytes.
+    The endpoint of suspect and gone members is omitted: receivers whom the update
+    concerns have it already. This halves the bytes sent when a whole zone fails.
     """
     endpoint = member.endpoint
     packed = peer_pb2.Member(
@@ -129,18 +132,21 @@
 
 
 def unpack_members(packed):
-    """Return the members of a message, without those that can't be understood.
+    """Return the members of a message, skipping those with an unknown state.
 
-    A newer daemon may know states that this one doesn't. Failing on one would
-    stop all gossip with it.
+    A newer release may add states. Raising an error for one would stop all gossip
+    with its sender.
     """
-    known = {state.value for state in membertable.State}
-    return tuple(_unpack_member(member) for member in packed if member.state in known)
+    known_states = {state.value for state in membertable.State}
+    return tuple(
+        _unpack_member(member) for member in packed if member.state in known_states
+    )
 
 
 def _unpack_member(packed):
     state = membertable.State(packed.state)
-    # Thousands of members share a few names; each message brings new copies.
+    # Thousands of members share a few names; without interning each message would
+    # add new copies of them.
     endpoint = messages.Endpoint(
         daemon=packed.daemon,
         address=packed.address,
@@ -154,7 +160,7 @@
 
 
 def pack_record(record):
-    """Return a configuration record as it goes over the wire."""
+    """Return the `peer_pb2.ConfigurationRecord` that encodes a record."""
     return peer_pb2.ConfigurationRecord(
         offset=record.offset, time=record.time, data=record.data
     )
@@ -164,19 +170,21 @@
     return tuple(client.Record(item.offset, item.time, item.data) for item in packed)
 
 
-def _choose_news(gossip, message, digests):
+def _select_updates(gossip, message, digests):
     now = _read_clock()
     rumours = gossip.members.select_rumours(now, message.sender)
     if not digests.values:
         return rumours
     differing = gossip.members.find_differing_members(digests, now)
-    told = {packed.daemon for packed in message.members}
-    told.update(member.endpoint.daemon for member in rumours)
-    return rumours + tuple(m for m in differing if m.endpoint.daemon not in told)
+    known_daemons = {packed.daemon for packed in message.members}
+    known_daemons.update(member.endpoint.daemon for member in rumours)
+    return rumours + tuple(
+        m for m in differing if m.endpoint.daemon not in known_daemons
+    )
 
 
-def _take_news(gossip, news):
-    """Take in the members and records of a message or an answer."""
+def _apply_message(gossip, news):
+    """Apply the members and records of a message or an answer."""
     now = _read_clock()
     changes = gossip.members.merge(unpack_members(news.members), now)
     if changes:
@@ -186,13 +194,13 @@
     gossip.relay.confirm(news.configuration_offset, news.configuration_age, now)
 
 
-def _ask_later(gossip, daemon):
+def _schedule_catch_up(gossip, daemon):
     member = gossip.members.get(daemon)
-    if member is not None and not gossip.behind.full():
-        gossip.behind.put_nowait(member.endpoint)
+    if member is not None and not gossip.newer_peers.full():
+        gossip.newer_peers.put_nowait(member.endpoint)
 
 
-def _compose(gossip, **fields):
+def _build_message(gossip, **fields):
     now = _read_clock()
     return peer_pb2.GossipMessage(
         sender=gossip.members.local_member.endpoint.daemon,
@@ -202,8 +210,8 @@
     )
 
 
-def _compose_probe(gossip, probe, records=()):
-    return _compose(
+def _build_probe_message(gossip, probe, records=()):
+    return _build_message(
         gossip,
         members=map(pack_member, probe.members),
         bucket=probe.digests.first,
@@ -217,7 +225,7 @@
         async with asyncio.timeout(timeout):
             return await gossip.send(address, message)
     except TimeoutError as error:
-        raise SendError(f"{address}: no answer in {timeout} s") from error
+        raise SendError(f"{address}: no answer within {timeout} s") from error
 
 
 async def _probe_periodically(gossip, group, random):
@@ -225,14 +233,14 @@
     while True:
         for instruction in gossip.members.plan(_read_clock()):
             if isinstance(instruction, membership.IndirectProbe):
-                group.create_task(_probe_via(gossip, instruction))
+                group.create_task(_probe_indirectly(gossip, instruction))
             else:
                 group.create_task(_probe(gossip, instruction))
         await asyncio.sleep(interval * random.uniform(0.9, 1.1))
 
 
 async def _probe(gossip, probe, records=()):
-    message = _compose_probe(gossip, probe, records)
+    message = _build_probe_message(gossip, probe, records)
     try:
         answer = await _send(gossip, probe.address, message)
     except SendError:
@@ -241,129 +249,129 @@
     now = _read_clock()
     if answer.sender != probe.daemon:
         gossip.members.record_replaced(probe.daemon, now)
-    _take_news(gossip, answer)
+    _apply_message(gossip, answer)
     gossip.members.record_alive(answer.sender, now)
     if answer.configuration_offset > gossip.relay.offset:
-        _ask_later(gossip, answer.sender)
+        _schedule_catch_up(gossip, answer.sender)
 
 
-async def _probe_via(gossip, instruction):
+async def _probe_indirectly(gossip, instruction):
     """Let helpers probe a daemon that didn't answer.
 
-    A helper that is silent says nothing of the daemon in doubt: perhaps it is
-    this daemon that is cut off. Only a helper's word counts against it.
+    A failure is recorded only if a helper reports it. If no helper answers, this
+    daemon itself may be cut off from the network.
     """
-    message = _compose(gossip, probe=instruction.address)
+    message = _build_message(gossip, probe=instruction.address)
     answers = await asyncio.gather(
         *(
-            _send(gossip, helper.address, message, HELPER_TIMEOUT)
+            _send(gossip, helper.address, message, INDIRECT_PROBE_TIMEOUT)
             for helper in instruction.helpers
         ),
         return_exceptions=True,
     )
-    heard = [answer for answer in answers if not isinstance(answer, SendError)]
-    for answer in heard:
+    received = [answer for answer in answers if not isinstance(answer, SendError)]
+    for answer in received:
         if isinstance(answer, BaseException):
             raise answer
-        _take_news(gossip, answer)
+        _apply_message(gossip, answer)
     now = _read_clock()
-    if any(answer.probe_answered for answer in heard):
+    if any(answer.probe_answered for answer in received):
         gossip.members.record_alive(instruction.daemon, now)
-    elif heard:
+    elif received:
         gossip.members.record_confirmed_failure(instruction.daemon, now)
 
 
 async def _try_probe(gossip, address):
     try:
-        answer = await _send(gossip, address, _compose(gossip))
+        answer = await _send(gossip, address, _build_message(gossip))
     except SendError:
         return False
-    _take_news(gossip, answer)
+    _apply_message(gossip, answer)
     return True
 
 
 async def _push_when_woken(gossip, group):
-    """Send news to a few partners at once, and they to theirs.
+    """Push configuration changes to a few partners, which push them to theirs.
 
-    Probes alone take about ten intervals to reach everyone, too long for a
-    change that has to be in force everywhere within nine seconds.
+    Probes alone take about ten intervals to reach all daemons, too long for a change
+    that has to be in force everywhere within nine seconds.
     """
     pushed = gossip.relay.offset
     while True:
         await gossip.wake.wait()
         gossip.wake.clear()
-        records = _choose_push(gossip.relay, pushed)
+        records = _select_push_records(gossip.relay, pushed)
         pushed = gossip.relay.offset
         for probe in gossip.members.plan_push(PUSH_PARTNERS, _read_clock()):
             group.create_task(_probe(gossip, probe, records))
         await asyncio.sleep(PUSH_INTERVAL)
 
 
-def _choose_push(relay, pushed):
-    """Return the records since the last push, or none when they are too many.
+def _select_push_records(relay, pushed):
+    """Return the records since the last push, or none if they exceed the size limit.
 
-    Many records mean that this daemon itself was behind; the others have them
-    by now, or ask for them when they see the offset.
+    Many records mean that this daemon itself was behind. The others have them by
+    now, or request them when they receive this daemon's offset.
     """
-    records = relay.give(pushed, PUSH_BYTES)
+    records = relay.give(pushed, MAX_PUSH_BYTES)
     if records and records[-1].offset + 1 < relay.offset:
         return ()
     return records
 
 
 async def _catch_up(gossip):
-    """Get the records that a peer has and this daemon lacks."""
+    """Request the missing configuration records from peers that have newer ones."""
     while True:
-        endpoint = await gossip.behind.get()
+        endpoint = await gossip.newer_peers.get()
         progress = True
         while progress:
             before = gossip.relay.offset
-            await _ask_records(gossip, endpoint.address)
+            await _request_records(gossip, endpoint.address)
             progress = gossip.relay.offset > before
 
 
-async def _ask_records(gossip, address):
+async def _request_records(gossip, address):
     try:
-        answer = await _send(gossip, address, _compose(gossip))
+        answer = await _send(gossip, address, _build_message(gossip))
     except SendError as error:
-        logging.info("configuration not received: %s", error)
+        logging.info("configuration request failed: %s", error)
         return
-    _take_news(gossip, answer)
+    _apply_message(gossip, answer)
 
 
 async def _fetch_members(gossip, random):
-    """Get the whole member list, page by page, from whoever answers.
+    """Fetch the whole member list, page by page, from any daemons that answer.
 
-    Each page may come from another daemon, so that after the restart of a
-    whole zone nobody has to give everything to hundreds of newcomers. When a
-    whole mesh starts at once, nobody has the list: after a while in which nobody
-    who has it was met, what is known is taken for it; digests settle the rest.
+    Each page may come from another daemon, so that after the restart of a whole zone
+    no daemon has to send the full list to hundreds of new ones. When a whole mesh
+    starts at once, no daemon has the list: after `FETCH_TIMEOUT` the members received
+    so far count as the list, and digests add the missing ones later.
     """
     members = gossip.members
-    last = _read_clock()
-    asked = set()
+    last_progress = _read_clock()
+    contacted = set()
     while members.next_bucket < membertable.BUCKETS:
         contacts = members.find_contacts()
-        if all(endpoint.daemon in asked for endpoint in contacts):
-            asked.clear()
-        untried = [e for e in contacts if e.daemon not in asked]
+        if all(endpoint.daemon in contacted for endpoint in contacts):
+            contacted.clear()
+        untried = [e for e in contacts if e.daemon not in contacted]
         has_list = False
         for endpoint in untried[:1]:
-            asked.add(endpoint.daemon)
+            contacted.add(endpoint.daemon)
             has_list = await _fetch_page(gossip, endpoint)
         if has_list or len(members) == 1:
-            last = _read_clock()
-        elif _read_clock() - last > FETCH_PATIENCE:
+            last_progress = _read_clock()
+        elif _read_clock() - last_progress > FETCH_TIMEOUT:
             members.stop_fetching_pages()
-        await asyncio.sleep(random.uniform(*FETCH_PAUSE))
+        await asyncio.sleep(random.uniform(*FETCH_INTERVAL_BOUNDS))
     logging.info("member list received: %d members", len(gossip.members))
 
 
 async def _fetch_page(gossip, endpoint):
-    """Ask for a page; return whether somebody was met who has the list."""
-    own = pack_member(gossip.members.local_member)
+    """Fetch a page; return whether the daemon that answered has the member list."""
+    local_packed = pack_member(gossip.members.local_member)
     bucket = gossip.members.next_bucket
-    message = _compose(gossip, members=[own], full=True, bucket=bucket)
+    message = _build_message(gossip, members=[local_packed], full=True, bucket=bucket)
     try:
         answer = await _send(gossip, endpoint.address, message)
     except SendError:
@@ -371,18 +379,20 @@
         return False
     now = _read_clock()
     if answer.sender != endpoint.daemon:
-        # The log still names a predecessor at this address.
+        # The log still lists a former daemon at this address.
         gossip.members.remove_contact(endpoint.daemon)
         gossip.members.record_replaced(endpoint.daemon, now)
     if answer.sender == gossip.members.local_member.endpoint.daemon:
-        # Taken for a peer's, its own empty list would seem complete, and
-        # callers would be told "no-endpoint" of services that are there.
+        # This daemon has answered its own request. If its empty list were applied as
+        # a peer's, it would seem complete, and callers would get "no-endpoint" for
+        # services that have endpoints.
         return False
     page = membership.MemberPage(unpack_members(answer.members), answer.next_bucket)
     changes = gossip.members.apply_page(page, now)
     gossip.members.record_alive(answer.sender, now)
     gossip.notify(changes)
-    # Who has no list gives itself; who has given too many lately gives nothing.
+    # A daemon without the list answers with itself only; one that has sent too many
+    # pages lately answers with no members.
     return page.next_bucket > bucket or not page.members
 
 
--- a/whinwinch/daemons/links.py
+++ b/whinwinch/daemons/links.py
@@ -1,11 +1,11 @@
 """Connections to other daemons, one for each, shared by all calls.
 
-What goes wrong between two daemons is a connection that breaks or falls silent
-while calls are out on it. One would see payouts of unknown outcome each time a
-switch resets connections. So a call has a number, the called side remembers what
-it was given, and after a new connection to the same start of the daemon all open
-calls are simply sent again: what had arrived goes on, what had not starts, and
-nothing runs twice. Only where the daemon itself has ended are they unknown.
+A connection may break or fall silent while calls are pending on it. Failing the calls
+would leave payouts with an unknown outcome each time a switch resets connections.
+Therefore each call has a number, and the called side records the calls it receives.
+After reconnecting to the same process all pending calls are sent again: received calls
+continue, the others start, and none runs twice. Their outcome becomes unknown only if
+the daemon doesn't come back in time or its process has ended.
 """
 
 import asyncio
@@ -19,113 +19,120 @@
 from ..subsets import Reachability
 from . import frames, traffic
 
-# A new connection takes one round trip, 2 ms between zones; ten times that on a
-# busy machine. A lost packet costs a second: by then another endpoint is better.
-CONNECT_SECONDS = 0.4
-# Time in which a broken connection must be back before its calls are given up.
-RESUME_SECONDS = 0.8
-# A link that carried nothing for this long is asked whether it still works.
-QUIET_SECONDS = 0.4
-# An idle link is asked more rarely: a message of 4 bytes a second and peer.
-IDLE_SECONDS = 2.0
-# A daemon busy for this long is of no use either.
-PONG_SECONDS = 0.8
-TICK_SECONDS = 0.1
-# A partner of gossip is used every second; an endpoint that gets no call for
-# this long is worth a new connection. A link that is kept costs pings, and partners
-# change every ten seconds.
+# Seconds until an attempt to connect fails. Connecting takes one round trip, 2 ms
+# between zones and ten times that on a busy machine. A lost packet delays it by a
+# second, by which time another endpoint is the better choice.
+CONNECT_TIMEOUT = 0.4
+# Seconds within which a lost connection must be re-established before its pending
+# calls are failed.
+RESUME_TIMEOUT = 0.8
+# Seconds without received data after which a link with pending calls is pinged.
+BUSY_PING_DELAY = 0.4
+# The same for a link without pending calls, which limits the pings to some 4 bytes
+# per second and peer.
+IDLE_PING_DELAY = 2.0
+# Seconds to wait for a Pong. A daemon that is busy for this long is no better than an
+# unreachable one.
+PONG_TIMEOUT = 0.8
+CHECK_INTERVAL = 0.1
+# Seconds without use after which a connection is closed. Gossip partners are contacted
+# every second and change every ten seconds, and an idle link costs pings. For an
+# endpoint that gets no call for this long a new connection is acceptable.
 UNUSED_SECONDS = 30.0
-# First pause and longest pause before an address that refused is tried again.
-FIRST_PAUSE = 0.05
-LONGEST_PAUSE = 1.0
-# Connections that are lost sooner, so many in a row, are closed on purpose, by a daemon
-# that lets this one not in: at once again, they would be tried a thousand times a
-# second. A switch that resets some in a row isn't that: with a
-# pause after the first, calls that came meanwhile found no endpoint and failed.
-SHORT_LIFE = 0.1
-MOST_SHORT_LIVES = 8
-# The called side answers by the deadline; its answer may travel a little longer.
-ANSWER_SECONDS = 0.1
-# What a daemon tells those connected with it, besides answers.
-TOLD = (frames.News, frames.LevelSum, frames.Graph, *frames.TOPIC_KINDS)
-
-
-class Pending(NamedTuple):
-    """A call that is out: the attempt, and the future of its answer."""
+# Bounds of the backoff, in seconds, after a failed connection attempt.
+INITIAL_BACKOFF = 0.05
+MAX_BACKOFF = 1.0
+# More than this number of consecutive connections that are lost within this number of
+# seconds mean that the other daemon rejects this one. Without a backoff it would
+# reconnect a thousand times per second. A switch may also reset several connections in
+# a row: with a backoff after the first, calls found no endpoint meanwhile and failed.
+SHORT_CONNECTION_SECONDS = 0.1
+MAX_SHORT_CONNECTIONS = 8
+# The called side answers by the deadline; the answer may take this many seconds longer
+# to arrive.
+ANSWER_TRANSIT_SECONDS = 0.1
+# Messages that a daemon sends to connected daemons without a request.
+REPORT_KINDS = (frames.News, frames.LevelSum, frames.Graph, *frames.TOPIC_KINDS)
+
+
+class PendingCall(NamedTuple):
+    """A call without an answer so far: the attempt and the future of its answer."""
 
     request: object
     future: asyncio.Future
 
 
 class Link(asyncio.Protocol):
-    """One connection to one peer."""
+    """A connection to a peer."""
 
     def __init__(self, peer, loop):
         self._peer = peer
         self._loop = loop
         self._unpacker = frames.build_unpacker()
         self.transport = None
-        self.since = loop.time()
-        self.received = self.since
-        self.pinged = None
-        self.greeted = loop.create_future()
+        self.created_time = loop.time()
+        self.last_received = self.created_time
+        self.ping_time = None
+        self.hello_received = loop.create_future()
 
     def connection_made(self, transport):
-        """Introduce this daemon."""
+        """Send this daemon's Hello."""
         self.transport = transport
-        self.received = self._loop.time()
+        self.last_received = self._loop.time()
         self.send(self._peer.hello)
 
     def connection_lost(self, exc):
-        """Tell the peer, which opens another connection if calls are out."""
+        """Notify the peer, which reconnects if calls are pending."""
         self.transport = None
-        if not self.greeted.done():
-            self.greeted.cancel()
-        self._peer.lose_link(self, exc)
+        if not self.hello_received.done():
+            self.hello_received.cancel()
+        self._peer.handle_link_loss(self, exc)
 
     def data_received(self, data):
-        """Hand the messages on."""
+        """Decode the messages and pass them to the peer."""
         now = self._loop.time()
-        self.received = now
-        self.pinged = None
+        self.last_received = now
+        self.ping_time = None
         try:
             for frame in frames.decode_frames(self._unpacker, data, now):
                 self._peer.receive(self, frame)
         except frames.FrameError as error:
-            logging.warning("peer %s sent no message: %s", self._peer.address, error)
+            logging.warning(
+                "invalid message from peer %s: %s", self._peer.address, error
+            )
             self.transport.abort()
 
     def send(self, frame):
-        """Send a message."""
+        """Encode and send a message."""
         data = frames.encode_frame(frame, self._loop.time())
         self._peer.traffic.note(type(frame), self._peer.address, len(data))
         self.transport.write(data)
 
 
 class Peer:
-    """One other daemon, and the calls that are out to it.
+    """Another daemon and the calls pending on it.
 
     Args:
-        address: "host:port" at which it takes calls.
+        address: "host:port" at which it accepts connections of daemons.
         hello: `frames.Hello` of this daemon.
-        take_news: Function that is told the address, and what it tells, one of
-            `TOLD`.
-        counted: `traffic.Traffic` that is told what is sent.
+        handle_report: Function called with the address and each received message of
+            `REPORT_KINDS`.
+        counted: `traffic.Traffic` that counts the messages sent.
     """
 
-    def __init__(self, address, hello, take_news, counted):
+    def __init__(self, address, hello, handle_report, counted):
         self._loop = asyncio.get_running_loop()
         self.traffic = counted
-        self._take_news = take_news
+        self._handle_report = handle_report
         self._numbers = itertools.count(1)
         self._pending = {}
-        self._asked = {}
+        self._pending_gossip = {}
         self._link = None
         self._connecting = None
-        self._pause = 0.0
-        self._next_try = 0.0
-        self._short_lives = 0
-        self._lost = 0.0
+        self._backoff = 0.0
+        self._next_connect_time = 0.0
+        self._short_connections = 0
+        self._lost_time = 0.0
         self._last_used = self._loop.time()
         self.address = address
         self.hello = hello
@@ -133,7 +140,7 @@
 
     @property
     def is_up(self):
-        """Whether calls can be sent at once."""
+        """Whether there is a connection on which calls can be sent at once."""
         return self._link is not None
 
     @property
@@ -141,26 +148,26 @@
         """The `Reachability` of the other daemon."""
         if self.is_up:
             return Reachability.UP
-        if not self._pause:
+        if not self._backoff:
             return Reachability.UNTRIED
         return (
             Reachability.RETRY_DUE
-            if self._loop.time() >= self._next_try
+            if self._loop.time() >= self._next_connect_time
             else Reachability.BACKING_OFF
         )
 
     async def call(self, request):
-        """Send one attempt and return its answer; never raises for the network."""
+        """Send one attempt and return its answer; network errors become answers."""
         self._last_used = self._loop.time()
         if not self.is_up:
-            left = request.deadline - self._loop.time()
-            if not await self._wait_up(min(left, CONNECT_SECONDS)):
+            remaining = request.deadline - self._loop.time()
+            if not await self._wait_connected(min(remaining, CONNECT_TIMEOUT)):
                 return build_failure(request, Outcome.NOT_RUN, Reason.NOT_SENT)
         number = next(self._numbers)
         future = self._loop.create_future()
-        self._pending[number] = Pending(request, future)
-        latest = request.deadline + ANSWER_SECONDS
-        timer = self._loop.call_at(latest, self._expire, number)
+        self._pending[number] = PendingCall(request, future)
+        expiry = request.deadline + ANSWER_TRANSIT_SECONDS
+        timer = self._loop.call_at(expiry, self._expire, number)
         self._link.send(frames.Call(number, request))
         try:
             return await future
@@ -174,82 +181,84 @@
     async def ask(self, data):
         """Send a gossip message and return the bytes of its answer.
 
-        It isn't sent again: what it tells is old by then.
+        It isn't sent again after a reconnect, since its content is outdated by then.
 
         Raises:
-            ConnectionError: When there is no connection, or it breaks.
+            ConnectionError: If no connection can be made, or it is lost.
         """
         self._last_used = self._loop.time()
-        if not self.is_up and not await self._wait_up(CONNECT_SECONDS):
+        if not self.is_up and not await self._wait_connected(CONNECT_TIMEOUT):
             raise ConnectionError(f"{self.address}: no connection")
         number = next(self._numbers)
         future = self._loop.create_future()
-        self._asked[number] = future
+        self._pending_gossip[number] = future
         self._link.send(frames.Gossip(number, data))
         try:
             return await future
         finally:
-            self._asked.pop(number, None)
+            self._pending_gossip.pop(number, None)
 
     def tell(self, frame):
-        """Send a message where there is a connection; else it is lost."""
+        """Send a message if connected; otherwise drop it."""
         if self._link is not None and self._link.transport is not None:
             self._link.send(frame)
 
     def is_unused(self, since):
-        """Return whether nothing is out, and nothing was sent since a time."""
-        return not self._pending and not self._asked and self._last_used < since
+        """Return whether nothing is pending and nothing was requested since a time."""
+        return (
+            not self._pending and not self._pending_gossip and self._last_used < since
+        )
 
     def connect(self):
-        """Open a connection unless there is one or it is too early."""
+        """Start to connect, unless connected, connecting or backing off."""
         if self._link is not None or self._connecting is not None:
             return
-        if self._loop.time() >= self._next_try:
+        if self._loop.time() >= self._next_connect_time:
             self._connecting = self._loop.create_task(self._connect())
 
     def keep(self):
-        """Stay connected though no call goes there."""
+        """Keep the connection open although no call uses it."""
         self._last_used = self._loop.time()
         self.connect()
 
     def receive(self, link, frame):
-        """Take a message of the other daemon."""
+        """Handle a message of the other daemon."""
         if isinstance(frame, frames.Reply):
-            self._settle(frame)
+            self._complete_call(frame)
         elif isinstance(frame, frames.Hello):
-            self._greet(link, frame)
-        elif isinstance(frame, TOLD):
-            self._take_news(self.address, frame)
+            self._handle_hello(link, frame)
+        elif isinstance(frame, REPORT_KINDS):
+            self._handle_report(self.address, frame)
         elif isinstance(frame, frames.Ping):
             link.send(frames.Pong(frame.number))
         elif isinstance(frame, frames.GossipReply):
-            self._settle_gossip(frame)
+            self._complete_gossip(frame)
 
-    def lose_link(self, link, exc):
-        """Open another connection at once where calls are out."""
+    def handle_link_loss(self, link, exc):
+        """Handle a lost connection; reconnect at once if calls are pending."""
         if link is not self._link:
             return
         self._link = None
-        self._lost = self._loop.time()
-        is_short = self._lost - link.since < SHORT_LIFE
-        self._short_lives = self._short_lives + 1 if is_short else 0
-        if self._short_lives > MOST_SHORT_LIVES:
-            self._wait_longer()
+        self._lost_time = self._loop.time()
+        is_short = self._lost_time - link.created_time < SHORT_CONNECTION_SECONDS
+        self._short_connections = self._short_connections + 1 if is_short else 0
+        if self._short_connections > MAX_SHORT_CONNECTIONS:
+            self._increase_backoff()
         else:
-            self._pause = 0.0
-            self._next_try = 0.0
+            self._backoff = 0.0
+            self._next_connect_time = 0.0
         self._log("lost", str(exc or "closed"), calls=len(self._pending))
         self._fail_gossip()
         if self._pending:
             self.connect()
 
     def check(self, now):
-        """Ask a quiet link whether it works; give up what can't be resumed."""
+        """Ping a silent link, and fail calls whose connection isn't restored."""
         if self._link is not None:
             self._check_link(now)
         elif self._pending:
-            if now - self._lost > RESUME_SECONDS:
-                self._give_up("no connection")
+            if now - self._lost_time > RESUME_TIMEOUT:
+                self._fail_pending_calls("no connection")
             else:
                 self.connect()
 
@@ -265,15 +274,15 @@
         link = self._link
         if link.transport is None:
             return
-        if link.pinged is not None:
-            if now - link.pinged > PONG_SECONDS:
-                # Silent without a reset: only this shows it.
-                logging.info("link to %s is silent", self.address)
+        if link.ping_time is not None:
+            if now - link.ping_time > PONG_TIMEOUT:
+                # A connection can fail without a reset; only a missing Pong shows it.
+                logging.info("no pong from peer %s, closing the link", self.address)
                 link.transport.abort()
             return
-        quiet = QUIET_SECONDS if self._pending else IDLE_SECONDS
-        if now - link.received > quiet:
-            link.pinged = now
+        quiet = BUSY_PING_DELAY if self._pending else IDLE_PING_DELAY
+        if now - link.last_received > quiet:
+            link.ping_time = now
             link.send(frames.Ping(0))
 
     def _cancel(self, number):
@@ -281,7 +290,7 @@
             self._link.send(frames.Cancel(number))
 
     def _expire(self, number):
-        """Give up a call whose answer has not come in time."""
+        """Fail a call that has not been answered in time, and cancel it."""
         pending = self._pending.get(number)
         if pending is None or pending.future.done():
             return
@@ -289,38 +298,40 @@
         failure = build_failure(pending.request, Outcome.UNKNOWN, Reason.DEADLINE, 504)
         pending.future.set_result(failure)
 
-    def _settle(self, reply):
+    def _complete_call(self, reply):
         pending = self._pending.get(reply.number)
         if pending is None or pending.future.done():
-            # Given up on; a late answer must reach nobody.
+            # The call has failed already; a late answer must be dropped.
             return
         if reply.answer.attempt != pending.request.attempt:
-            logging.warning("peer %s answered another attempt", self.address)
+            logging.warning("peer %s answered a different attempt", self.address)
             return
         pending.future.set_result(reply.answer)
 
-    def _settle_gossip(self, reply):
-        future = self._asked.get(reply.number)
+    def _complete_gossip(self, reply):
+        future = self._pending_gossip.get(reply.number)
         if future is not None and not future.done():
             future.set_result(reply.data)
 
     def _fail_gossip(self):
-        """Tell those who wait for an answer to gossip that none will come."""
-        for future in self._asked.values():
+        """Fail all pending gossip messages."""
+        for future in self._pending_gossip.values():
             if not future.done():
-                future.set_exception(ConnectionError(f"{self.address}: lost"))
+                future.set_exception(
+                    ConnectionError(f"{self.address}: connection lost")
+                )
 
-    def _greet(self, link, hello):
-        """Send the open calls again, or give them up to another start of it."""
-        if link.greeted.done():
+    def _handle_hello(self, link, hello):
+        """Send the pending calls again, or fail them if the daemon has restarted."""
+        if link.hello_received.done():
             return
-        link.greeted.set_result(None)
+        link.hello_received.set_result(None)
         if self.daemon and hello.daemon != self.daemon:
-            self._give_up("the daemon has started anew")
+            self._fail_pending_calls("daemon restarted")
         self.daemon = hello.daemon
         self._link = link
-        if self._lost:
-            seconds = self._loop.time() - self._lost
+        if self._lost_time:
+            seconds = self._loop.time() - self._lost_time
             self._log("regained", calls=len(self._pending), seconds=seconds)
         for number, pending in sorted(self._pending.items()):
             self._link.send(frames.Call(number, pending.request))
@@ -330,9 +341,9 @@
         event = events.Dependency(name, state, problem, **more)
         events.sample("dependency", event)
 
-    def _give_up(self, why):
+    def _fail_pending_calls(self, why):
         if self._pending:
-            self._log("lost", f"calls given up: {why}", calls=len(self._pending))
+            self._log("lost", f"calls failed: {why}", calls=len(self._pending))
         for pending in self._pending.values():
             if not pending.future.done():
                 pending.future.set_result(
@@ -340,8 +351,8 @@
                 )
         self._pending.clear()
 
-    async def _wait_up(self, timeout):
-        """Return whether the link is up within some seconds."""
+    async def _wait_connected(self, timeout):
+        """Connect if needed; return whether the link is up within the timeout."""
         self.connect()
         if self._connecting is None:
             return self.is_up
@@ -356,79 +367,81 @@
         host, _, port = self.address.rpartition(":")
         link = Link(self, self._loop)
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT):
                 await self._loop.create_connection(lambda: link, host, int(port))
-                await link.greeted
+                await link.hello_received
         except (OSError, TimeoutError) as error:
-            self._fail_connect(link, error)
+            self._handle_connect_failure(link, error)
         except asyncio.CancelledError:
-            # The link was closed before it was greeted, or the daemon stops.
-            self._fail_connect(link, ConnectionResetError("closed before a greeting"))
+            # The link was closed before a Hello came, or this daemon stops.
+            self._handle_connect_failure(
+                link, ConnectionResetError("closed before Hello")
+            )
         finally:
             self._connecting = None
 
-    def _wait_longer(self):
-        """Put the next try off, twice as far as the last one."""
-        self._pause = min(max(FIRST_PAUSE, 2 * self._pause), LONGEST_PAUSE)
-        self._next_try = self._loop.time() + self._pause
+    def _increase_backoff(self):
+        """Double the backoff until the next connection attempt."""
+        self._backoff = min(max(INITIAL_BACKOFF, 2 * self._backoff), MAX_BACKOFF)
+        self._next_connect_time = self._loop.time() + self._backoff
 
-    def _fail_connect(self, link, error):
-        self._wait_longer()
+    def _handle_connect_failure(self, link, error):
+        self._increase_backoff()
         if link.transport is not None:
             link.transport.abort()
         if isinstance(error, ConnectionRefusedError):
-            # Nobody listens there: the daemon has ended, and with it the calls.
+            # Nothing listens there: the process has ended, and its calls with it.
             self.daemon = ""
-            self._give_up("connection refused")
+            self._fail_pending_calls("connection refused")
 
 
 class Peers:
-    """The other daemons that this one calls.
+    """The other daemons that this one connects to.
 
     Args:
         hello: `frames.Hello` of this daemon.
-        take_news: Function that is told an address, and what it tells, one of
-            `TOLD`.
-        counted: `traffic.Traffic` that is told what is sent.
+        handle_report: Function called with the address of a daemon and each received
+            message of `REPORT_KINDS`.
+        counted: `traffic.Traffic` that counts the messages sent.
     """
 
-    def __init__(self, hello, take_news, counted=None):
+    def __init__(self, hello, handle_report, counted=None):
         self._hello = hello
         self._traffic = counted or traffic.Traffic()
-        self._take_news = take_news
+        self._handle_report = handle_report
         self._peers = {}
 
     def __len__(self):
         return len(self._peers)
 
     def count_up(self):
-        """Return how many other daemons are connected."""
+        """Return the number of daemons that this one is connected to."""
         return sum(peer.is_up for peer in self._peers.values())
 
     def find(self, address):
-        """Return the `Peer` of an address, made at its first use."""
+        """Return the `Peer` of an address, creating it on first use."""
         peer = self._peers.get(address)
         if peer is None:
-            peer = Peer(address, self._hello, self._take_news, self._traffic)
+            peer = Peer(address, self._hello, self._handle_report, self._traffic)
             self._peers[address] = peer
         return peer
 
     def forget(self, address):
-        """Drop a peer that has left; calls that are out go on."""
+        """Drop a peer that has left, unless connected, so that pending calls go on."""
         peer = self._peers.get(address)
         if peer is not None and not peer.is_up:
             del self._peers[address]
             peer.close()
 
     def drop_unused(self, now):
-        """Close the connections that nobody has used for a while.
+        """Close the connections that haven't been used for a while.
 
-        Gossip changes its partners every few seconds, and instances are
-        replaced: without this a daemon would hold a connection to every daemon
-        that there has ever been, and its memory would grow for weeks.
+        Gossip changes its partners every few seconds, and instances are replaced.
+        Without this a daemon would keep a connection to every daemon that ever
+        existed, and its memory would grow for weeks.
 
         Returns:
-            The addresses of those that were dropped.
+            The addresses of the closed connections.
         """
         unused = [
             address
@@ -440,10 +453,10 @@
         return unused
 
     async def keep(self):
-        """Check all links, for ever."""
+        """Check all links periodically, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL)
             now = loop.time()
             for peer in tuple(self._peers.values()):
                 peer.check(now)
--- a/whinwinch/daemons/traffic.py
+++ b/whinwinch/daemons/traffic.py
@@ -1,20 +1,22 @@
-"""Bytes sent to other daemons, by kind of message and by availability zone.
+"""Counters of the messages sent to other daemons, by kind and zone.
 
-Bytes between zones are dear and their causes many: answers, what daemons tell each
-other, signs of life. Counted by kind, the cause can be read off a running mesh.
+Traffic between availability zones is expensive and has several sources: answers,
+reports, pings. Counting it by kind shows the source on a running mesh.
 """
 
 from typing import NamedTuple
 
 
 class Sent(NamedTuple):
-    """What was sent to other daemons, since the start or in a span of time.
+    """The messages of one kind sent to daemons of the same or of other zones.
+
+    They are counted since the start or in an interval.
 
     Attributes:
-        kind: Kind of message, the name of its type in `frames`.
+        kind: Kind of message, the lower-case name of its type in `frames`.
         place: `SAME_ZONE` or `OTHER_ZONE`.
-        frames: How many.
-        size: Their bytes.
+        frames: Number of messages.
+        size: Their total size in bytes.
     """
 
     kind: str
@@ -28,26 +30,34 @@
 
 
 class Traffic:
-    """Counts what one daemon sends.
+    """Counts the messages and bytes that this daemon sends to others.
 
     Args:
-        is_far: Function from the address of a daemon to whether it is known to be in
-            another availability zone.
+        is_other_zone: Function from the address of a daemon to whether it is known to
+            be in another availability zone.
     """
 
-    def __init__(self, is_far=lambda address: False):
-        self._is_far = is_far
-        # By type of message and whether it went far: messages, bytes.
+    def __init__(self, is_other_zone=lambda address: False):
+        self._is_other_zone = is_other_zone
+        # Numbers of messages and bytes, by type of message and whether the receiver
+        # is in another zone.
         self._counts = {}
 
     def note(self, kind, address, size, count=1):
-        """Count messages of one type to the daemon of an address."""
-        key = kind, self._is_far(address)
+        """Count messages of one type sent to an address.
+
+        Args:
+            kind: Type of the messages, one of `frames.KINDS`.
+            address: Address of the receiving daemon.
+            size: Their total size in bytes.
+            count: Number of messages.
+        """
+        key = kind, self._is_other_zone(address)
         frames, total = self._counts.get(key, (0, 0))
         self._counts[key] = frames + count, total + size
 
     def list_sent(self):
-        """Return what was sent since the start, as `Sent` tuples."""
+        """Return the messages sent since the start as `Sent` tuples."""
         return tuple(
             Sent(kind.__name__.lower(), OTHER_ZONE if far else SAME_ZONE, *counts)
             for (kind, far), counts in self._counts.items()
@@ -55,15 +65,17 @@
 
 
 def subtract(later, earlier):
-    """Return what was sent between two times, given what was until each.
+    """Return the messages sent between two times, without unchanged counts.
 
     Args:
-        later: `Sent` tuples of the later time.
-        earlier: Those of the earlier time.
+        later: `Sent` tuples at the later time.
+        earlier: `Sent` tuples at the earlier time.
     """
     before = {sent[:2]: sent for sent in earlier}
     return tuple(
-        sent._replace(frames=sent.frames - was.frames, size=sent.size - was.size)
+        sent._replace(
+            frames=sent.frames - previous.frames, size=sent.size - previous.size
+        )
         for sent in later
-        if (was := before.get(sent[:2], sent._replace(frames=0, size=0))) != sent
+        if (previous := before.get(sent[:2], sent._replace(frames=0, size=0))) != sent
     )
--- a/whinwinch/http1/__init__.py
+++ b/whinwinch/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on the event loop, by a C parser."""
+"""HTTP/1.1 client and server on the event loop, using a C parser."""
--- a/whinwinch/http1/client.py
+++ b/whinwinch/http1/client.py
@@ -1,9 +1,10 @@
-"""The asking side of HTTP/1.1: kept connections, whole answers.
+"""HTTP/1.1 client with keep-alive connections and complete responses.
 
-What can go wrong here decides whether a request may be sent again. A request
-that found no connection was not sent; one whose connection broke after it was
-written may have run; an answer that is cut short, or followed by bytes that
-belong to no request, must reach nobody. Each has an exception of its own.
+The kind of failure decides whether a request may be sent again. A request for which
+no connection could be opened was not sent (`NotSentError`). A request whose connection
+broke after it was written may have run (`BrokenError`), or one without a response in
+time (`TimeoutError`). Truncated responses, and bytes that belong to no request, are
+never returned to a caller.
 """
 
 import asyncio
@@ -14,22 +15,23 @@
 
 from . import messages
 
-# A new connection on the own instance or within a region takes a few round
-# trips; one lost packet costs a second, and by then another endpoint is better.
-CONNECT_SECONDS = 1.0
-# A kept connection is used for this share of the time its server keeps it idle:
-# a request that crosses the server's close may have run or not.
-IDLE_SHARE = 0.6
-# Used where the server doesn't say how long it keeps an idle connection.
-IDLE_SECONDS = 5.0
+# Seconds until opening a connection fails. On the local instance or within a region it
+# takes a few round trips. A lost packet delays it by a second, by which time another
+# endpoint is the better choice.
+CONNECT_TIMEOUT = 1.0
+# An idle connection is reused within this share of the server's idle timeout: if the
+# server closes it while a request is being sent, the request may or may not have run.
+IDLE_TIMEOUT_SHARE = 0.6
+# Seconds for which an idle connection is reused if the server states no idle timeout.
+DEFAULT_IDLE_SECONDS = 5.0
 
 
 class NotSentError(Exception):
-    """No connection could be had, so not a byte was sent."""
+    """No connection could be opened, so no byte was sent."""
 
 
 class BrokenError(Exception):
-    """The connection or the answer broke after the request was sent."""
+    """The connection broke, or the response was invalid, after sending the request."""
 
 
 def _accept(response):
@@ -39,64 +41,64 @@
 class ClientConnection(asyncio.Protocol):
     """One connection to a server, for one request at a time."""
 
-    def __init__(self, loop, most_body):
+    def __init__(self, loop, max_body_bytes):
         self._loop = loop
-        self._most_body = most_body
+        self._max_body_bytes = max_body_bytes
         self._transport = None
         self._parser = None
         self._waiter = None
-        self._until_close = False
-        self._is_spoilt = False
+        self._ends_at_close = False
+        self._is_unusable = False
         self._is_head = False
         self._accepts = _accept
-        self._keep_seconds = IDLE_SECONDS
-        self._keep_text = ""
+        self._max_idle_seconds = DEFAULT_IDLE_SECONDS
+        self._keep_alive_text = ""
         self.idle_until = math.inf
 
     def connection_made(self, transport):
-        """Take the connection over."""
+        """Store the transport of the new connection."""
         self._transport = transport
 
     def connection_lost(self, exc):
-        """End the answer under way: whole only if it may end this way."""
+        """End the pending response, which is complete only if delimited by close."""
         self._transport = None
-        self._is_spoilt = True
+        self._is_unusable = True
         if self._waiter is None:
             return
-        if exc is None and self._until_close:
+        if exc is None and self._ends_at_close:
             self._finish(False)
         else:
-            self._fail("the connection was closed before the answer was whole")
+            self._fail("connection closed before the response was complete")
 
     def data_received(self, data):
-        """Feed the parser; bytes that nobody asked for end the connection."""
+        """Feed the parser; close the connection if no request is pending."""
         if self._waiter is None:
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._is_spoilt = True
-            self._fail(f"the answer can't be read: {error}")
+            self._is_unusable = True
+            self._fail(f"invalid response: {error}")
             self.close()
 
     @property
     def is_open(self):
         """Whether another request may be sent."""
-        return self._transport is not None and not self._is_spoilt
+        return self._transport is not None and not self._is_unusable
 
     async def exchange(self, data, is_head, accepts, until):
         """Send the bytes of a request and return the `messages.HttpResponse`.
 
         Args:
-            data: The bytes.
-            is_head: Whether the answer has no body, whatever length it states.
-            accepts: Function that tells whether an answer belongs to the request.
-            until: Time of the loop's clock by which the answer must be whole.
+            data: Bytes of the request.
+            is_head: Whether the response has no body, whatever length it states.
+            accepts: Function from a response to whether it belongs to the request.
+            until: Time of the loop's clock by which the response must be complete.
 
         Raises:
-            BrokenError: When no whole answer came; the request may have run.
-            TimeoutError: When it didn't come in time; the request may have run.
+            BrokenError: If no complete response came; the request may have run.
+            TimeoutError: If it didn't come in time; the request may have run.
         """
         self._accepts = accepts
         self._parser = httptools.HttpResponseParser(self)
@@ -108,8 +110,8 @@
         try:
             return await self._waiter
         except asyncio.CancelledError:
-            # The server drops a request whose connection closes; kept, the
-            # late answer would be taken for that of the next request.
+            # The server cancels a request whose connection closes. If the connection
+            # were reused, the late response would count as that of the next request.
             self.abort()
             raise
         finally:
@@ -118,29 +120,29 @@
 
     def close(self):
         """Close the connection."""
-        self._is_spoilt = True
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.close()
 
     def abort(self):
-        """Close the connection without sending what is still to be written."""
-        self._is_spoilt = True
+        """Close the connection and discard unsent bytes."""
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
 
     def on_message_begin(self):
-        """Begin an answer; a second one to a request belongs to nobody."""
+        """Begin a response; after an unsolicited one the connection isn't reused."""
         if self._waiter is None or self._waiter.done():
-            self._is_spoilt = True
+            self._is_unusable = True
             return
         self._reset()
 
     def on_status(self, status):
-        """Take a part of the text behind the status code."""
+        """Add a part of the reason phrase."""
         self._phrase += status
 
     def on_header(self, name, value):
-        """Take a header; trailers behind the body are dropped."""
+        """Add a header; trailers after the body are dropped."""
         if self._in_body:
             return
         key, text = name.decode("latin-1"), value.decode("latin-1")
@@ -149,30 +151,30 @@
         if lowered in ("content-length", "transfer-encoding"):
             self._is_framed = True
         elif lowered == "keep-alive":
-            self._read_keep_alive(text)
+            self._parse_keep_alive(text)
 
     def on_headers_complete(self):
-        """Find out how the body ends."""
+        """Determine how the end of the body is marked."""
         self._in_body = True
         status = self._parser.get_status_code()
         has_body = status >= 200 and status not in (204, 304)
-        self._until_close = has_body and not self._is_framed
+        self._ends_at_close = has_body and not self._is_framed
         if self._is_head and status >= 200:
-            # No body follows, whatever length is stated; the parser would wait
-            # for it, so the connection is not used again.
-            self._until_close = False
+            # No body follows, whatever length is stated. The parser would wait for
+            # one, so the connection isn't used again.
+            self._ends_at_close = False
             self._finish(False)
 
     def on_body(self, body):
-        """Take a part of the body."""
-        self._size += len(body)
-        if self._size > self._most_body:
-            raise ValueError("the answer is too large")
+        """Add a part of the body."""
+        self._body_size += len(body)
+        if self._body_size > self._max_body_bytes:
+            raise ValueError("response body too large")
         self._body.append(body)
 
     def on_message_complete(self):
-        """Hand a whole answer over; an interim one is dropped."""
-        if self._parser.get_status_code() < 200 or self._until_close:
+        """Return the complete response to the waiting caller; drop interim ones."""
+        if self._parser.get_status_code() < 200 or self._ends_at_close:
             return
         self._finish(self._parser.should_keep_alive())
 
@@ -180,7 +182,7 @@
         if self._waiter is None or self._waiter.done():
             return
         if not keep_alive:
-            self._is_spoilt = True
+            self._is_unusable = True
         response = messages.HttpResponse(
             self._parser.get_status_code(),
             self._phrase.decode("latin-1"),
@@ -189,15 +191,15 @@
             keep_alive,
         )
         if not self._accepts(response):
-            # A second answer to an earlier request that came late: this one's
-            # own is still to come. What else comes here isn't to be trusted.
-            self._is_spoilt = True
+            # A late duplicate of the response to an earlier request. The response to
+            # the present one is still to come, but the connection isn't reused.
+            self._is_unusable = True
             return
-        self.idle_until = self._loop.time() + self._keep_seconds
+        self.idle_until = self._loop.time() + self._max_idle_seconds
         self._waiter.set_result(response)
 
     def _expire(self):
-        """Give up an answer that takes too long, and its connection with it."""
+        """Fail the request, whose response takes too long, and drop the connection."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_exception(TimeoutError())
         self.abort()
@@ -206,56 +208,56 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_exception(BrokenError(why))
 
-    def _read_keep_alive(self, text):
-        # A server says the same in each answer.
-        if text == self._keep_text:
+    def _parse_keep_alive(self, text):
+        # Most servers send the same value in each response, so parse it only once.
+        if text == self._keep_alive_text:
             return
-        self._keep_text = text
+        self._keep_alive_text = text
         for part in text.split(","):
             name, _, value = part.strip().partition("=")
             if name == "timeout" and value.isdigit():
-                self._keep_seconds = int(value) * IDLE_SHARE
+                self._max_idle_seconds = int(value) * IDLE_TIMEOUT_SHARE
 
     def _reset(self):
         self._phrase = b""
         self._headers = []
         self._body = []
-        self._size = 0
+        self._body_size = 0
         self._is_framed = False
         self._in_body = False
-        self._until_close = False
+        self._ends_at_close = False
 
 
 class Pool:
-    """Kept connections to one address, the last used first.
+    """A pool of keep-alive connections to one address, most recently used first.
 
     Args:
-        host: IP number.
+        host: IP address.
         port: Port.
-        most_body: Largest answer taken, in bytes.
+        max_body_bytes: Maximum size of a response body in bytes.
     """
 
-    def __init__(self, host, port, most_body):
+    def __init__(self, host, port, max_body_bytes):
         self._loop = asyncio.get_running_loop()
         self._address = (host, port)
-        self._most_body = most_body
+        self._max_body_bytes = max_body_bytes
         self._idle = collections.deque()
 
     async def exchange(self, data, until, is_head=False, accepts=_accept):
         """Send the bytes of a request and return the `messages.HttpResponse`.
 
         Args:
-            data: The bytes.
-            until: Time of the loop's clock by which the answer must be whole.
-            is_head: Whether the answer has no body, whatever length it states.
-            accepts: Function that tells whether an answer belongs to the request.
+            data: Bytes of the request.
+            until: Time of the loop's clock by which the response must be complete.
+            is_head: Whether the response has no body, whatever length it states.
+            accepts: Function from a response to whether it belongs to the request.
 
         Raises:
-            NotSentError: When no connection could be had.
-            BrokenError: When no whole answer came; the request may have run.
-            TimeoutError: When it didn't come in time; the request may have run.
+            NotSentError: If no connection could be opened.
+            BrokenError: If no complete response came; the request may have run.
+            TimeoutError: If it didn't come in time; the request may have run.
         """
-        connection = self._take() or await self._open(until)
+        connection = self._pop_usable() or await self._open(until)
         try:
             return await connection.exchange(data, is_head, accepts, until)
         finally:
@@ -269,8 +271,8 @@
         while self._idle:
             self._idle.pop().close()
 
-    def _take(self):
-        """Return an idle connection that its server surely still keeps."""
+    def _pop_usable(self):
+        """Return an idle connection within its reuse time, None if there is none."""
         now = self._loop.time()
         while self._idle:
             connection = self._idle.pop()
@@ -280,11 +282,11 @@
         return None
 
     async def _open(self, until):
-        latest = min(until, self._loop.time() + CONNECT_SECONDS)
+        connect_deadline = min(until, self._loop.time() + CONNECT_TIMEOUT)
         try:
-            async with asyncio.timeout_at(latest):
+            async with asyncio.timeout_at(connect_deadline):
                 _, connection = await self._loop.create_connection(
-                    lambda: ClientConnection(self._loop, self._most_body),
+                    lambda: ClientConnection(self._loop, self._max_body_bytes),
                     *self._address,
                 )
         except (OSError, TimeoutError) as error:
--- a/whinwinch/http1/messages.py
+++ b/whinwinch/http1/messages.py
@@ -1,8 +1,8 @@
-"""Typed HTTP messages, and what of them belongs to one connection only."""
+"""Typed HTTP messages, their encoding and the handling of hop-by-hop headers."""
 
 from typing import NamedTuple
 
-# These belong to one connection, not to the request or the answer.
+# Headers that apply to one connection, not to the request or response itself.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -23,14 +23,14 @@
 
 
 class HttpRequest(NamedTuple):
-    """One whole request.
+    """A complete request.
 
     Attributes:
-        method: Method, as sent.
-        target: Path and query, as sent.
-        headers: Pairs of name and value in the order sent.
-        body: The whole body.
-        keep_alive: Whether the sender goes on using the connection.
+        method: Method, as received.
+        target: Path and query, as received.
+        headers: Pairs of name and value in the order received.
+        body: The complete body.
+        keep_alive: Whether the client keeps the connection open.
     """
 
     method: str
@@ -41,13 +41,13 @@
 
 
 class HttpResponse(NamedTuple):
-    """One whole answer.
+    """A complete response.
 
     Attributes:
         status: Status code.
-        phrase: Text behind the status code.
+        phrase: Reason phrase after the status code.
         headers: Pairs of name and value in the order sent.
-        body: The whole body.
+        body: The complete body.
         keep_alive: Whether the connection may be used again.
     """
 
@@ -59,7 +59,7 @@
 
 
 def find_header(headers, name):
-    """Return the value of the first header of a lower-case name, or ""."""
+    """Return the value of the first header with a lower-case name, or ""."""
     size = len(name)
     for key, value in headers:
         if len(key) == size and key.lower() == name:
@@ -68,13 +68,13 @@
 
 
 def drop_headers(headers, names=frozenset()):
-    """Return headers without those of one connection and some others.
+    """Return headers without the hop-by-hop headers and some others.
 
-    Headers that ``Connection`` lists go too, as the standard asks.
+    Headers that ``Connection`` lists are dropped too, as the standard requires.
 
     Args:
         headers: Pairs of name and value.
-        names: Further lower-case names to leave out.
+        names: Additional lower-case names to drop.
     """
     dropped = CONNECTION_HEADERS | names if names else CONNECTION_HEADERS
     listed = find_header(headers, "connection").lower()
@@ -84,12 +84,15 @@
 
 
 def format_request(request, host):
-    """Return the bytes of a request; its length is always stated.
+    """Return the bytes of a request.
+
+    ``Content-Length`` is added if the request has a body or its method isn't GET or
+    HEAD.
 
     Args:
-        request: `HttpRequest`; headers that frame the body are left out by the
-            caller.
-        host: Value of ``Host``, "" when it stands among the headers.
+        request: `HttpRequest` without headers that state the length or encoding of
+            the body.
+        host: Value of ``Host``, "" if the headers contain it.
     """
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     if host:
@@ -101,12 +104,12 @@
 
 
 def format_response(response, closing, is_head=False):
-    """Return the bytes of an answer; its length is always stated.
+    """Return the bytes of a response, with ``Content-Length`` if it has a body.
 
     Args:
-        response: `HttpResponse` without the headers of a connection.
-        closing: Whether the connection is closed behind it.
-        is_head: Whether it answers a HEAD request, which has no body.
+        response: `HttpResponse` without hop-by-hop headers.
+        closing: Whether the connection is closed after the response.
+        is_head: Whether the request was a HEAD request, so that no body is sent.
     """
     lines = [f"HTTP/1.1 {response.status} {response.phrase}"]
     lines.extend(f"{name}: {value}" for name, value in response.headers)
--- a/whinwinch/http1/server.py
+++ b/whinwinch/http1/server.py
@@ -1,9 +1,9 @@
-"""The serving side of HTTP/1.1: connections, pipelining, cancellation.
+"""HTTP/1.1 server with pipelining and cancellation.
 
-Load pattern: many kept connections, each with a few requests at a time. A
-thread for each would hold its stack for as long as a request is out and could
-not notice that its caller hung up; here a request is a task, which is cancelled
-when the connection goes.
+The load is many keep-alive connections, each with a few requests at a time. A thread
+per request would occupy its stack while the request is pending and could not notice
+that the caller has disconnected. Here each request is a task, which is cancelled when
+the connection is lost.
 """
 
 import asyncio
@@ -16,22 +16,22 @@
 
 from . import messages
 
-# Seconds for which a connection that was answered for the last time is still
-# read: closed with unread bytes it would be reset, and the answer lost.
+# Seconds for which a connection is still read after its last response. Closing it with
+# unread bytes would reset it, and the response would be lost.
 LINGER_SECONDS = 0.5
-# Requests of one connection worked on at once; reading stops at that many, so a
-# caller can't fill the memory with requests sent ahead.
-MOST_PIPELINED = 16
+# Maximum number of pending requests of one connection. Reading stops there, so that a
+# caller can't fill the memory with pipelined requests.
+MAX_PIPELINED = 16
 
 
 class Limits(NamedTuple):
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of requests.
 
     Attributes:
-        header_bytes: Largest head of a request.
-        body_bytes: Largest body.
-        header_seconds: Longest time from the first byte to the whole head.
-        idle_seconds: Longest time between two requests.
+        header_bytes: Maximum size of the target and headers of a request.
+        body_bytes: Maximum size of a body.
+        header_seconds: Maximum time without received bytes within a request.
+        idle_seconds: Maximum time between two requests.
     """
 
     header_bytes: int = 32 << 10
@@ -41,14 +41,14 @@
 
 
 class Sender(NamedTuple):
-    """Where a request came from: the IP number, and the connection's number."""
+    """The source of a request: the IP address and the number of the connection."""
 
     host: str
     connection: int
 
 
-class Slot:
-    """One request of a connection and its answer, sent in the order received."""
+class PendingResponse:
+    """The task of a request and its response, sent in the order of the requests."""
 
     __slots__ = ("answer", "is_head", "keep_alive", "task")
 
@@ -60,10 +60,10 @@
 
 
 class Connection(asyncio.Protocol):
-    """One accepted connection.
+    """A connection accepted from a caller.
 
     Args:
-        server: The `Server` that it belongs to.
+        server: The `Server` that accepted it.
     """
 
     def __init__(self, server):
@@ -71,105 +71,105 @@
         self._transport = None
         self._sender = None
         self._parser = httptools.HttpRequestParser(self)
-        self._slots = collections.deque()
+        self._pending = collections.deque()
         self._timer = None
         self._is_closing = False
         self._writable = True
-        self._read_time = 0.0
+        self._last_read_time = 0.0
         self._reset()
 
     def connection_made(self, transport):
-        """Take the connection over."""
+        """Register the new connection and start its timer."""
         self._transport = transport
         host = transport.get_extra_info("peername")[0]
-        self._sender = Sender(host, next(self._server.numbers))
+        self._sender = Sender(host, next(self._server.connection_numbers))
         self._server.connections.add(self)
-        self._read_time = self._server.loop.time()
-        self._arm()
+        self._last_read_time = self._server.loop.time()
+        self._start_timer()
 
     def connection_lost(self, exc):
-        """Cancel what is under way: nobody is there for the answers."""
+        """Cancel the pending requests, since nobody can receive the responses."""
         self._server.connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
-        for slot in self._slots:
-            if slot.task is not None:
-                slot.task.cancel()
-        self._slots.clear()
+        for pending in self._pending:
+            if pending.task is not None:
+                pending.task.cancel()
+        self._pending.clear()
         self._transport = None
 
     def data_received(self, data):
-        """Feed the parser; what can't be framed ends the connection."""
+        """Feed the parser; reject invalid input and close the connection."""
         if self._is_closing:
             return
-        self._read_time = self._server.loop.time()
+        self._last_read_time = self._server.loop.time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # An upgrade is declined by answering as if it wasn't asked for;
-            # what follows could be another protocol, so nothing more is read.
+            # An upgrade is declined by answering the request as if it had none. The
+            # following bytes may be of another protocol, so reading stops.
             self._is_closing = True
-            if self._slots:
-                self._slots[-1].keep_alive = False
-                self._in_head = False
+            if self._pending:
+                self._pending[-1].keep_alive = False
+                self._in_request = False
         except httptools.HttpParserError:
-            self._refuse_input(self._fault or 400)
-        self._check_pressure()
+            self._reject_input(self._error_status or 400)
+        self._apply_backpressure()
 
     def eof_received(self):
-        """Answer a request that was cut off half way; none of it is handed on.
+        """Reject a truncated request without passing any of it to the handler.
 
         Returns:
-            Whether the connection is kept, for that answer only.
+            Whether the connection stays open, for that response only.
         """
-        if not self._in_head or self._is_closing:
+        if not self._in_request or self._is_closing:
             return False
-        self._refuse_input(400)
+        self._reject_input(400)
         return True
 
     def pause_writing(self):
-        """Read no more requests while the caller doesn't read its answers."""
+        """Stop reading requests while the caller doesn't read its responses."""
         self._writable = False
-        self._check_pressure()
+        self._apply_backpressure()
 
     def resume_writing(self):
-        """Go on reading."""
+        """Resume reading requests."""
         self._writable = True
-        self._check_pressure()
+        self._apply_backpressure()
 
     def on_message_begin(self):
         """Begin a request."""
         self._reset()
 
     def on_url(self, url):
-        """Take a part of the target."""
+        """Add a part of the target."""
         self._target += url
-        self._count_head(len(url))
+        self._add_header_bytes(len(url))
 
     def on_header(self, name, value):
-        """Take a header; trailers behind the body are dropped."""
+        """Add a header; trailers after the body are dropped."""
         if self._in_body:
             return
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
-        self._count_head(len(name) + len(value) + 4)
+        self._add_header_bytes(len(name) + len(value) + 4)
 
     def on_headers_complete(self):
-        """Invite the body where the caller waits for that."""
+        """Send "100 Continue" if the caller waits for it."""
         self._in_body = True
         expect = messages.find_header(self._headers, "expect")
-        if expect.lower() == "100-continue" and not self._slots:
+        if expect.lower() == "100-continue" and not self._pending:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body):
-        """Take a part of the body."""
-        self._size += len(body)
-        if self._size > self._server.limits.body_bytes:
-            self._fault = 413
-            raise ValueError("the body is too large")
+        """Add a part of the body."""
+        self._body_size += len(body)
+        if self._body_size > self._server.limits.body_bytes:
+            self._error_status = 413
+            raise ValueError("request body too large")
         self._body.append(body)
 
     def on_message_complete(self):
-        """Start to serve a whole request."""
+        """Start a task that serves the complete request."""
         keep_alive = self._parser.should_keep_alive()
         request = messages.HttpRequest(
             self._parser.get_method().decode("latin-1"),
@@ -178,146 +178,148 @@
             b"".join(self._body),
             keep_alive,
         )
-        slot = Slot(keep_alive, request.method == "HEAD")
-        self._slots.append(slot)
-        self._in_head = False
-        slot.task = self._server.loop.create_task(self._serve(slot, request))
-
-    def stop_reading(self):
-        """Let the next answer be the last; an idle connection is closed."""
-        if not self._slots and not self._in_head and self._transport is not None:
+        pending = PendingResponse(keep_alive, request.method == "HEAD")
+        self._pending.append(pending)
+        self._in_request = False
+        pending.task = self._server.loop.create_task(self._serve(pending, request))
+
+    def close_if_idle(self):
+        """Close the connection unless a request is being read or answered."""
+        if not self._pending and not self._in_request and self._transport is not None:
             self._transport.close()
 
     def serves(self, task):
-        """Return whether a task answers a request of this connection."""
-        return any(slot.task is task for slot in self._slots)
+        """Return whether a task serves a request of this connection."""
+        return any(pending.task is task for pending in self._pending)
 
     def abort(self):
-        """Drop the connection and what is under way for it."""
+        """Abort the connection, which cancels its pending requests."""
         if self._transport is not None:
             self._transport.abort()
 
     @property
     def is_idle(self):
         """Whether no request is being read or answered."""
-        return not self._slots and not self._in_head
+        return not self._pending and not self._in_request
 
-    async def _serve(self, slot, request):
+    async def _serve(self, pending, request):
         try:
-            slot.answer = await self._server.handle(request, self._sender)
+            pending.answer = await self._server.handle(request, self._sender)
         except Exception:
-            # One request that meets a fault of ours must not leave those
-            # behind it on its connection without an answer.
-            logging.exception("a request could not be handled")
-            slot.answer = messages.HttpResponse(500, "Internal Server Error")
+            # An error in the handler must not leave the following requests of the
+            # connection without a response.
+            logging.exception("request handler failed")
+            pending.answer = messages.HttpResponse(500, "Internal Server Error")
         self._flush()
 
     def _flush(self):
-        """Send the answers that are due, in the order of their requests."""
-        while self._slots and self._slots[0].answer is not None:
-            slot = self._slots.popleft()
+        """Send the responses that are ready, in the order of their requests."""
+        while self._pending and self._pending[0].answer is not None:
+            pending = self._pending.popleft()
             if self._transport is None:
                 return
-            closing = not slot.keep_alive or not slot.answer.keep_alive
+            closing = not pending.keep_alive or not pending.answer.keep_alive
             closing = closing or self._server.is_stopping
-            data = messages.format_response(slot.answer, closing, slot.is_head)
+            data = messages.format_response(pending.answer, closing, pending.is_head)
             self._transport.write(data)
             if closing:
-                self._drop_rest()
+                self._close_after_response()
                 return
-        self._check_pressure()
-
-    def _drop_rest(self):
-        """Close behind an answer; what was sent behind it counts as not read."""
-        for slot in self._slots:
-            if slot.task is not None:
-                slot.task.cancel()
-        self._slots.clear()
+        self._apply_backpressure()
+
+    def _close_after_response(self):
+        """Close after a response and cancel the later requests."""
+        for pending in self._pending:
+            if pending.task is not None:
+                pending.task.cancel()
+        self._pending.clear()
         self._is_closing = True
         if self._transport.can_write_eof():
             self._transport.write_eof()
         self._server.loop.call_later(LINGER_SECONDS, self._transport.close)
 
-    def _refuse_input(self, status):
-        """Answer what can't be read, behind the answers still due, and close."""
-        slot = Slot(False, False)
-        slot.answer = self._server.refuse(status)
-        self._slots.append(slot)
+    def _reject_input(self, status):
+        """Reject invalid input, after the pending responses, and close."""
+        pending = PendingResponse(False, False)
+        pending.answer = self._server.refuse(status)
+        self._pending.append(pending)
         self._is_closing = True
-        self._in_head = False
+        self._in_request = False
         self._flush()
 
-    def _count_head(self, size):
-        self._in_head = True
-        self._head_size += size
-        if self._head_size > self._server.limits.header_bytes:
-            self._fault = 431
-            raise ValueError("the head is too large")
+    def _add_header_bytes(self, size):
+        self._in_request = True
+        self._header_size += size
+        if self._header_size > self._server.limits.header_bytes:
+            self._error_status = 431
+            raise ValueError("request headers too large")
 
     def _reset(self):
         self._target = b""
         self._headers = []
         self._body = []
-        self._size = 0
-        self._head_size = 0
-        self._in_head = False
+        self._body_size = 0
+        self._header_size = 0
+        self._in_request = False
         self._in_body = False
-        self._fault = 0
+        self._error_status = 0
 
-    def _check_pressure(self):
+    def _apply_backpressure(self):
         if self._transport is None or self._transport.is_closing():
             return
-        if self._writable and len(self._slots) < MOST_PIPELINED:
+        if self._writable and len(self._pending) < MAX_PIPELINED:
             self._transport.resume_reading()
         else:
             self._transport.pause_reading()
 
-    def _arm(self):
+    def _start_timer(self):
         limits = self._server.limits
-        wait = limits.header_seconds if self._in_head else limits.idle_seconds
-        due = self._read_time + wait
-        self._timer = self._server.loop.call_at(due, self._check_time)
+        wait = limits.header_seconds if self._in_request else limits.idle_seconds
+        due = self._last_read_time + wait
+        self._timer = self._server.loop.call_at(due, self._check_timeouts)
 
-    def _check_time(self):
-        """Close an idle connection, or one whose head doesn't get complete."""
+    def _check_timeouts(self):
+        """Close an idle connection, or reject an incomplete request after its timeout.
+
+        The time of pending requests doesn't count.
+        """
         if self._transport is None or self._is_closing:
             return
         limits = self._server.limits
-        since = self._server.loop.time() - self._read_time
-        if self.is_idle and since >= limits.idle_seconds:
+        elapsed = self._server.loop.time() - self._last_read_time
+        if self.is_idle and elapsed >= limits.idle_seconds:
             self._transport.close()
-        elif self._in_head and since >= limits.header_seconds:
-            self._refuse_input(408)
+        elif self._in_request and elapsed >= limits.header_seconds:
+            self._reject_input(408)
         else:
-            if self._slots:
-                self._read_time = self._server.loop.time()
-            self._arm()
+            if self._pending:
+                self._last_read_time = self._server.loop.time()
+            self._start_timer()
 
 
-def refuse_plainly(status):
-    """Return the answer to what can't be read, without a body."""
+def build_plain_refusal(status):
+    """Return a response without a body for input that is not a valid request."""
     return messages.HttpResponse(status, "Bad Request")
 
 
 class Server:
-    """A listening address and its connections.
+    """A listening socket and its connections.
 
     Args:
         handle: Coroutine function from `messages.HttpRequest` and its `Sender` to
-            `messages.HttpResponse`. It is cancelled when the
-            caller hangs up.
-        limits: `Limits`; may be replaced while it runs.
-        refuse: Function from a status code to the `messages.HttpResponse` for what
-            can't be read as a request.
+            `messages.HttpResponse`. It is cancelled when the caller disconnects.
+        limits: `Limits`; may be replaced while the server runs.
+        refuse: Function from a status code to the `messages.HttpResponse` for input
+            that is not a valid request.
     """
 
-    def __init__(self, handle, limits, refuse=refuse_plainly):
+    def __init__(self, handle, limits, refuse=build_plain_refusal):
         self.loop = asyncio.get_running_loop()
         self.handle = handle
         self.limits = limits
         self.refuse = refuse
         self.connections = set()
-        self.numbers = itertools.count(1)
+        self.connection_numbers = itertools.count(1)
         self.is_stopping = False
         self._listener = None
 
@@ -325,12 +327,12 @@
         """Accept connections.
 
         Args:
-            host: IP number.
+            host: IP address.
             port: Port; 0 for a free one.
             backlog: Connections that may wait to be accepted.
 
         Returns:
-            The port.
+            The port that it listens on.
         """
         self._listener = await self.loop.create_server(
             lambda: Connection(self), host, port, backlog=backlog, reuse_address=True
@@ -338,18 +340,18 @@
         return self._listener.sockets[0].getsockname()[1]
 
     def begin_stop(self):
-        """Close each connection behind its next answer."""
+        """Close each connection after its next response."""
         self.is_stopping = True
 
     def end_stop(self):
-        """Accept nothing more and close the connections that are idle."""
+        """Stop listening and close the idle connections."""
         if self._listener is not None:
             self._listener.close()
         for connection in tuple(self.connections):
-            connection.stop_reading()
+            connection.close_if_idle()
 
     def abort(self):
-        """Accept nothing more and drop all connections, answered or not."""
+        """Stop listening and abort all connections, pending requests included."""
         if self._listener is not None:
             self._listener.close()
         for connection in tuple(self.connections):
@@ -357,5 +359,5 @@
 
     @property
     def is_idle(self):
-        """Whether no connection waits for an answer."""
+        """Whether no connection has a request that is being read or answered."""
         return all(connection.is_idle for connection in self.connections)
