--- a/test/backends/test_gatekeeper.py
+++ b/test/backends/test_gatekeeper.py
@@ -1,4 +1,4 @@
-"""Tests for the gatekeeper, with a backend server that is a function."""
+"""Tests of the gatekeeper with a scripted backend server."""
 
 import asyncio
 import inspect
@@ -12,7 +12,7 @@
 from whinwinch.messages import Answer, Importance, Outcome, Reason
 
 KEY = claims.make_key(1_700_000_000.0, 7)
-GENEROUS = 30.0
+WAIT_SECONDS = 30.0
 
 
 def build_request(attempt="a1", **fields):
@@ -28,12 +28,12 @@
         "budget": 3,
     }
     request = messages.Request(**(values | fields))
-    begun = asyncio.get_running_loop().time()
-    return request._replace(deadline=begun + request.deadline)
+    start_time = asyncio.get_running_loop().time()
+    return request._replace(deadline=start_time + request.deadline)
 
 
 class FakeClient:
-    """A backend server that answers by a function."""
+    """A client whose backend server answers with the result of a function."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -43,34 +43,34 @@
     def close(self):
         self.closed += 1
 
-    async def forward(self, request, left):
+    async def forward(self, request, remaining):
         self.ran.append(request.attempt)
         answer = self.answer(request)
         return await answer if inspect.isawaitable(answer) else answer
 
 
-def complete(request):
+def build_answer(request):
     return Answer(request.attempt, Outcome.COMPLETED, body=b"whole")
 
 
 class GatekeeperTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.now = 0.0
-        begun = asyncio.get_running_loop().time()
+        start_time = asyncio.get_running_loop().time()
         self.verdict = ClaimVerdict(Verdict.WON)
         self.ended = []
         self.takes_work = True
         self.running = running.RunningAttempts()
         self.ledger = retries.Ledger()
         self.levels = levels.LearnedLevels()
-        self.client = FakeClient(complete)
+        self.client = FakeClient(build_answer)
         patch = unittest.mock.patch.object(
             gatekeeper, "BackendClient", lambda *arguments: self.client
         )
         patch.start()
         self.addCleanup(patch.stop)
         self.gatekeeper = gatekeeper.Gatekeeper(
-            clock=lambda: begun + self.now,
+            clock=lambda: start_time + self.now,
             claim=self.claim,
             note_end=lambda request, answer: self.ended.append(answer.outcome),
             ledger=self.ledger,
@@ -97,9 +97,9 @@
         self.assertEqual(0, self.gatekeeper.load().in_service)
 
     async def test_work_claimed_by_another_attempt_is_not_run(self):
-        """A caller asks again while its first attempt is still running.
+        """Guards against a retry running while the first attempt still runs.
 
-        Run here as well, the payout would reach the poet twice.
+        A payout would be made twice.
         """
         self.verdict = ClaimVerdict(Verdict.LOST, winner="a0")
         answer = await self.gatekeeper.serve(build_request(key=KEY))
@@ -108,7 +108,7 @@
         self.assertFalse(self.client.ran)
 
     async def test_keyed_work_is_refused_while_the_log_is_down(self):
-        """The platform's log has an outage; unclaimed work must not run."""
+        """Guards against work running unclaimed during an outage of the log."""
         self.verdict = ClaimVerdict(Verdict.LOG_DOWN, retry_after=2.0)
         answer = await self.gatekeeper.serve(build_request(key=KEY))
         self.assertEqual(Outcome.NOT_RUN, answer.outcome)
@@ -122,10 +122,11 @@
         self.assertEqual(Outcome.COMPLETED, answer.outcome)
 
     async def test_a_winner_that_was_paused_past_its_deadline_does_not_run(self):
-        """The instance is frozen after the log has decided, and resumed later.
+        """Guards against an instance running stale work after a pause.
 
-        The caller was told "unknown" and may have given up; the claim is
-        released, so that asking again with the same key can run the work.
+        It is frozen after the log's verdict and resumed past the deadline. The
+        caller got "unknown" and may have given up; the claim is released, so that
+        a retry with the same key can run the work.
         """
 
         async def claim_and_pause(request):
@@ -139,10 +140,10 @@
         self.assertEqual([Outcome.NOT_RUN], self.ended)
         self.assertFalse(self.client.ran)
 
-    async def test_a_doubled_message_does_not_run_twice(self):
-        """The network delivers one attempt twice.
+    async def test_a_duplicate_message_does_not_run_twice(self):
+        """Guards against an attempt that is delivered twice running twice.
 
-        The copy can't be told "not run": the first one ran.
+        The duplicate can't be reported as not run, because the first copy ran.
         """
         await self.gatekeeper.serve(build_request())
         answer = await self.gatekeeper.serve(build_request())
@@ -156,23 +157,26 @@
         self.assertEqual(Reason.LEAVING, answer.reason)
         self.assertEqual(3, answer.unused)
 
-    async def test_a_vanished_backend_server_takes_no_work(self):
+    async def test_no_work_is_admitted_without_a_backend_server(self):
         self.gatekeeper.install(None)
         self.assertEqual(1, self.client.closed)
         answer = await self.gatekeeper.serve(build_request())
         self.assertEqual(Reason.NO_ENDPOINT, answer.reason)
 
     async def test_work_for_another_service_is_refused(self):
-        """A peer's view is old: another backend server has taken the place.
+        """Guards against forwarding a request to a server of another service.
 
-        Handed on, the request would reach a server of another service.
+        The peer's view is outdated: another backend server runs here now.
         """
         answer = await self.gatekeeper.serve(build_request(service="catalog"))
         self.assertEqual(Reason.NO_ENDPOINT, answer.reason)
         self.assertFalse(self.client.ran)
 
-    async def test_a_refusal_from_below_is_marked_so_that_nobody_above_retries(self):
-        """A service that this one calls is full, and so this one answers 503."""
+    async def test_a_refusal_of_a_nested_call_is_marked_so_that_no_caller_retries(self):
+        """Guards against retries while a downstream service is overloaded.
+
+        This service then answers 503, which no upstream daemon may retry.
+        """
 
         def fail_below(request):
             refused = Answer("child", Outcome.NOT_RUN, Reason.LEVEL, retry_after=2.0)
@@ -184,17 +188,18 @@
         self.assertTrue(answer.deeper)
         self.assertEqual(2.0, answer.retry_after)
 
-    async def test_what_would_be_refused_below_takes_no_slot(self):
-        """A service further down sheds all but critical work.
+    async def test_a_request_whose_nested_call_would_be_refused_occupies_no_slot(self):
+        """Guards against admitting work that a downstream service would refuse.
 
-        Let in here, a request would take a slot for an answer that can't be
-        whole, and the hop above would try it at the next endpoint.
+        The downstream service sheds all but critical work. An admitted request
+        would occupy a slot for an answer that can't be complete, and the upstream
+        daemon would retry it at the next endpoint.
         """
 
         def meet_a_level(request):
             child = Answer("child", Outcome.COMPLETED, load=messages.Load(level=3.0))
             self.running.record_answer(request.attempt, child)
-            return complete(request)
+            return build_answer(request)
 
         self.client.answer = meet_a_level
         for number in range(20):
@@ -208,10 +213,11 @@
         self.assertTrue(answer.deeper)
         self.assertGreater(answer.load.below, 0.0)
 
-    async def test_what_seldom_calls_on_is_not_refused_for_those_that_do(self):
-        """One request in ten of a path calls a service that is full.
+    async def test_requests_that_rarely_make_nested_calls_are_not_refused(self):
+        """Guards against refusing requests that don't need the overloaded service.
 
-        Refused with it, the other nine would be lost though they need it not.
+        One request in ten of a path calls a service that is overloaded. The other
+        nine must not be refused with it.
         """
         numbers = iter(range(1000))
 
@@ -221,7 +227,7 @@
                     "child", Outcome.COMPLETED, load=messages.Load(level=3.0)
                 )
                 self.running.record_answer(request.attempt, child)
-            return complete(request)
+            return build_answer(request)
 
         self.client.answer = meet_a_level_seldom
         for number in range(95):
@@ -232,10 +238,10 @@
         self.assertGreater(len(self.client.ran), 80)
 
     async def test_a_slow_log_does_not_take_all_slots(self):
-        """The log is slow, so that payouts wait for their claims.
+        """Guards against waiting claims occupying every slot.
 
-        Holding every slot meanwhile, they would keep out the reads, which
-        need no log at all.
+        The log is slow, so payouts wait for their claims. In all slots, they would
+        block the reads, which don't need the log.
         """
         claiming = asyncio.Event()
         decided = asyncio.Event()
@@ -255,13 +261,13 @@
         self.assertEqual(Reason.QUEUE, second.reason)
         self.assertEqual(Outcome.COMPLETED, read.outcome)
 
-    async def hold_all(self):
-        """Fill all four slots; return the tasks, and the event that ends them."""
+    async def occupy_all_slots(self):
+        """Occupy all four slots; return the tasks and the event that ends them."""
         leave = asyncio.Event()
 
         async def hold(request):
             await leave.wait()
-            return complete(request)
+            return build_answer(request)
 
         self.client.answer = hold
         tasks = [
@@ -270,18 +276,19 @@
             )
             for number in range(4)
         ]
-        async with asyncio.timeout(GENEROUS):
+        async with asyncio.timeout(WAIT_SECONDS):
             while len(self.client.ran) < 4:
                 await asyncio.sleep(0)
         return tasks, leave
 
-    async def test_a_slot_given_to_a_caller_that_hangs_up_is_free_again(self):
-        """A slot gets free in the moment in which the caller next in line hangs up.
+    async def test_a_slot_granted_to_a_caller_that_disconnects_is_freed(self):
+        """Guards against leaking a slot when a waiting caller disconnects.
 
-        The gate has admitted its request already; nobody would ever leave the
-        slot again, and the endpoint lose one slot after the other.
+        A slot becomes free at the moment the next caller in the queue disconnects.
+        The gate has already admitted its request; if nothing freed the slot, the
+        endpoint would lose one slot after another.
         """
-        tasks, leave = await self.hold_all()
+        tasks, leave = await self.occupy_all_slots()
         waiting = asyncio.create_task(
             self.gatekeeper.serve(build_request("next", deadline=60.0))
         )
@@ -295,17 +302,17 @@
         self.assertEqual(0, self.gatekeeper.load().in_service)
         self.assertTrue(self.gatekeeper.has_room())
 
-    async def test_claimed_work_runs_to_its_end_though_its_caller_hangs_up(self):
-        """A caller of a payout goes away while it is being made.
+    async def test_claimed_work_completes_although_its_caller_disconnects(self):
+        """Guards against cancelling a payout when its caller disconnects.
 
-        Broken off, the payout is perhaps made, and its claim would keep the
-        caller that asks again from ever learning of it.
+        The payout might have been made, and its claim would keep a caller that
+        retries from ever learning the outcome.
         """
         leave = asyncio.Event()
 
         async def hold(request):
             await leave.wait()
-            return complete(request)
+            return build_answer(request)
 
         self.client.answer = hold
         task = asyncio.create_task(self.gatekeeper.serve(build_request(key=KEY)))
@@ -319,8 +326,8 @@
         self.assertEqual([Outcome.COMPLETED], self.ended)
         self.assertEqual(0, self.gatekeeper.load().in_service)
 
-    async def test_a_full_endpoint_has_no_room_until_an_answer_leaves(self):
-        tasks, leave = await self.hold_all()
+    async def test_a_full_endpoint_has_no_free_slot_until_an_answer_is_sent(self):
+        tasks, leave = await self.occupy_all_slots()
         self.assertFalse(self.gatekeeper.has_room())
         leave.set()
         answers = await asyncio.gather(*tasks)
--- a/test/backends/test_guard.py
+++ b/test/backends/test_guard.py
@@ -1,4 +1,4 @@
-"""Tests of the only way to a backend server."""
+"""Tests of admission and forwarding to one backend server."""
 
 import asyncio
 import unittest
@@ -23,7 +23,7 @@
 
 class GuardTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.begun = []
+        self.started = []
         self.ended = []
         self.hold = asyncio.Event()
         self.backend = server.Server(self.answer, server.Limits())
@@ -50,7 +50,7 @@
         await asyncio.sleep(0.02)
 
     async def answer(self, request, peer):
-        self.begun.append(request.target)
+        self.started.append(request.target)
         await self.hold.wait()
         self.ended.append(request.target)
         return http.HttpResponse(200, "OK", (), request.target.encode())
@@ -67,34 +67,38 @@
             while not condition():
                 await asyncio.sleep(0.002)
 
-    async def fill(self):
+    async def occupy_all_slots(self):
         tasks = [self.start(f"full{number}") for number in range(2)]
-        await self.wait_until(lambda: len(self.begun) == 2)
+        await self.wait_until(lambda: len(self.started) == 2)
         return tasks
 
-    async def test_no_more_inside_than_it_has_slots(self):
-        """Work is asked for beyond the slots; inside, its order could not be kept."""
-        await self.fill()
+    async def test_running_requests_never_exceed_the_slots(self):
+        """Guards against forwarding more requests than there are slots.
+
+        Their order could not be controlled inside the backend server.
+        """
+        await self.occupy_all_slots()
         waiting = self.start("third")
         await asyncio.sleep(0.05)
-        self.assertEqual(len(self.begun), 2)
+        self.assertEqual(len(self.started), 2)
         self.hold.set()
         self.assertEqual((await waiting).body, b"/third")
 
-    async def test_wait_has_an_end(self):
-        await self.fill()
+    async def test_wait_for_a_slot_is_limited(self):
+        await self.occupy_all_slots()
         self.wait = 0.05
         answer = await self.start("third")
         self.assertEqual(answer.outcome, Outcome.NOT_RUN)
         self.assertEqual(answer.reason, Reason.DEADLINE)
-        self.assertEqual(len(self.begun), 2)
+        self.assertEqual(len(self.started), 2)
 
-    async def test_what_waits_is_refused_when_the_backend_server_leaves(self):
-        """A backend server drains while requests wait for it.
+    async def test_waiting_requests_are_refused_when_the_backend_server_leaves(self):
+        """Guards against admitting requests after a leave was acknowledged.
 
-        Kept waiting, they would go in after its leave was acknowledged.
+        A backend server drains while requests wait for a slot; requests that kept
+        waiting would be admitted later.
         """
-        running = await self.fill()
+        running = await self.occupy_all_slots()
         waiting = self.start("third")
         await asyncio.sleep(0.02)
         self.guard.install(BACKEND._replace(leaving=True))
@@ -106,9 +110,9 @@
         answers = await asyncio.gather(*running)
         self.assertTrue(all(each.outcome is Outcome.COMPLETED for each in answers))
 
-    async def test_caller_that_leaves_gives_its_place_back(self):
-        """Requests that wait are given up; their places must not stay taken."""
-        await self.fill()
+    async def test_caller_that_disconnects_frees_its_queue_position(self):
+        """Guards against cancelled requests staying in the queue."""
+        await self.occupy_all_slots()
         gone = [self.start(f"gone{number}") for number in range(3)]
         await asyncio.sleep(0.02)
         for task in gone:
@@ -117,11 +121,11 @@
         await asyncio.sleep(0.02)
         self.hold.set()
         self.assertEqual((await waiting).body, b"/third")
-        self.assertFalse(any("gone" in target for target in self.begun))
+        self.assertFalse(any("gone" in target for target in self.started))
         self.assertEqual(self.guard.load().waiting, 0)
 
-    async def test_safe_work_stops_when_its_caller_leaves(self):
-        running = await self.fill()
+    async def test_repeatable_work_stops_when_its_caller_disconnects(self):
+        running = await self.occupy_all_slots()
         for task in running:
             task.cancel()
         await self.wait_until(lambda: not self.guard.running)
@@ -130,13 +134,13 @@
         await asyncio.sleep(0.02)
         self.assertEqual(self.ended, [])
 
-    async def test_unsafe_work_runs_to_its_end(self):
-        """The caller of a payout leaves while it is being made.
+    async def test_unrepeatable_work_runs_to_its_end(self):
+        """Guards against cancelling a payout when its caller disconnects.
 
-        Broken off, it is perhaps half made, and nobody learns of it.
+        The payout might be half made, and no one would learn its outcome.
         """
         task = self.start("pay", repeatable=False)
-        await self.wait_until(lambda: self.begun)
+        await self.wait_until(lambda: self.started)
         task.cancel()
         await asyncio.sleep(0.02)
         self.hold.set()
@@ -151,18 +155,18 @@
         self.guard.install(BACKEND)
         answer = await self.start("x", service="another")
         self.assertEqual(answer.reason, Reason.NO_ENDPOINT)
-        self.assertEqual(self.begun, [])
+        self.assertEqual(self.started, [])
 
     async def test_repeats_beyond_the_budget_are_not_run(self):
-        """Everybody repeats lost work; a service short of room gets twice as much."""
+        """Guards against repeats doubling the load of an overloaded service."""
         self.hold.set()
         answers = [await self.start(f"r{n}", again=True) for n in range(9)]
         refused = [each for each in answers if each.reason is Reason.REPEATS]
         self.assertGreaterEqual(len(refused), 6)
         self.assertTrue(all(each.outcome is Outcome.NOT_RUN for each in refused))
 
-    async def test_backend_server_that_is_gone(self):
-        """Its process has ended; what found no connection was not run."""
+    async def test_backend_server_that_has_exited(self):
+        """Guards against reporting an attempt without a connection as possibly run."""
         self.backend.abort()
         await asyncio.sleep(0.02)
         answer = await self.start("x")
--- a/test/backends/test_registry.py
+++ b/test/backends/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests for announcements of backend servers."""
+"""Tests of the registration of the local backend server."""
 
 import unittest
 
@@ -24,11 +24,11 @@
         self.assertFalse(self.registry.announce(self.announcement, 2.0))
         self.assertFalse(self.registry.expire(4.9))
 
-    def test_a_backend_server_that_goes_silent_is_forgotten(self):
-        """A backend server is killed and says nothing more.
+    def test_a_backend_server_that_stops_announcing_is_removed(self):
+        """Guards against accepting work for a backend server that was killed.
 
-        Without the lease its daemon would go on taking work for it, and
-        callers would see one broken answer after the other.
+        It sends no withdrawal. Without the lease its daemon would go on accepting
+        work, and callers would get one broken answer after another.
         """
         self.registry.announce(self.announcement, 0.0)
         self.assertTrue(self.registry.expire(3.0))
@@ -42,7 +42,7 @@
         places = [finding.place for finding in caught.exception.findings]
         self.assertEqual(["service", "address", "slots", "connections", "more"], places)
 
-    def test_what_is_no_object_is_refused(self):
+    def test_a_document_that_is_not_an_object_is_rejected(self):
         with self.assertRaises(errors.InputErrors):
             registry.check_announcement([])
 
--- a/whinwinch/backends/__init__.py
+++ b/whinwinch/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Everything said to and heard from the backend server beside the daemon."""
+"""Admission and communication of a daemon with its local backend server."""
--- a/whinwinch/backends/app.py
+++ b/whinwinch/backends/app.py
@@ -1,4 +1,4 @@
-"""What the own backend server says on the loopback address."""
+"""HTTP handler for the local backend server on the loopback address."""
 
 import json
 
@@ -8,16 +8,19 @@
 from .registry import check_announcement
 
 ANNOUNCEMENT_PATH = "/announcement"
-LARGEST_ANNOUNCEMENT = 4096
+MAX_ANNOUNCEMENT_BYTES = 4096
 
 
 def build_handler(calls, announce, withdraw):
-    """Return a coroutine function from a request and its sender to the answer.
+    """Return a coroutine function that handles the backend server's requests.
+
+    It takes an HTTP request and its sender and returns an `HttpResponse`.
 
     Args:
-        calls: The same for calls, see `callers.app.build_handler`.
-        announce: Takes an `Announcement`.
-        withdraw: Called when the backend server leaves.
+        calls: Handler with the same signature for calls to services, see
+            `callers.app.build_handler`.
+        announce: Called with each valid `Announcement`.
+        withdraw: Called when the backend server withdraws its announcement.
     """
 
     async def serve_backend(http, sender):
@@ -25,7 +28,7 @@
         if path.startswith("/services/"):
             return await calls(http, sender)
         if path != ANNOUNCEMENT_PATH:
-            return answers.form_findings(404, [Finding("path", "is not known")])
+            return answers.form_findings(404, [Finding("path", "does not exist")])
         return _serve_announcement(http, announce, withdraw)
 
     return serve_backend
@@ -37,13 +40,15 @@
         return HttpResponse(204, "No Content")
     if http.method != "PUT":
         return answers.form_findings(405, [Finding("method", "must be PUT")])
-    if len(http.body) > LARGEST_ANNOUNCEMENT:
-        problem = f"must have at most {LARGEST_ANNOUNCEMENT} bytes"
+    if len(http.body) > MAX_ANNOUNCEMENT_BYTES:
+        problem = f"must be at most {MAX_ANNOUNCEMENT_BYTES} bytes"
         return answers.form_findings(413, [Finding("body", problem)])
     try:
         announce(check_announcement(json.loads(http.body)))
     except ValueError as error:
-        return answers.form_findings(400, [Finding("body", f"is no JSON: {error}")])
+        return answers.form_findings(
+            400, [Finding("body", f"is not valid JSON: {error}")]
+        )
     except InputErrors as errors:
         return answers.form_findings(400, errors.findings)
     return HttpResponse(204, "No Content")
--- a/whinwinch/backends/client.py
+++ b/whinwinch/backends/client.py
@@ -1,4 +1,4 @@
-"""Attempts for the backend server beside the daemon, over HTTP."""
+"""HTTP client that sends attempts to the local backend server."""
 
 from absl import logging
 
@@ -8,11 +8,11 @@
 
 
 class BackendClient:
-    """Kept connections to one backend server.
+    """Connection pool of one backend server.
 
     Args:
         address: "host:port" of the backend server.
-        max_body: Largest answer taken, in bytes.
+        max_body: Maximum size of an answer's body, in bytes.
     """
 
     def __init__(self, address, max_body):
@@ -20,22 +20,24 @@
         self._address = address
         self._pool = client.Pool(host, int(port), max_body)
 
-    async def forward(self, request, left):
-        """Send one attempt and return its answer; never raises for the network.
+    async def forward(self, request, remaining):
+        """Send one attempt and return its answer, also after a network error.
 
         Args:
             request: The attempt.
-            left: Seconds until its deadline.
+            remaining: Seconds until its deadline.
         """
-        data = _form_request(request, left, self._address)
+        data = _format_attempt(request, remaining, self._address)
         is_head = request.method == "HEAD"
         try:
             response = await self._pool.exchange(data, request.deadline, is_head)
         except client.NotSentError as error:
-            logging.info("backend server not reached: %s", error)
+            logging.info("failed to reach the backend server: %s", error)
             return build_failure(request, Outcome.NOT_RUN, Reason.NOT_SENT, 503)
         except client.BrokenError as error:
-            logging.info("attempt=%s broken: %s", request.attempt, error)
+            logging.info(
+                "connection broken during attempt %s: %s", request.attempt, error
+            )
             return build_failure(request, Outcome.UNKNOWN, Reason.BROKEN, 502)
         except TimeoutError:
             return build_failure(request, Outcome.UNKNOWN, Reason.DEADLINE, 504)
@@ -48,17 +50,17 @@
         )
 
     def close(self):
-        """Close the kept connections."""
+        """Close the pooled connections."""
         self._pool.close()
 
 
-def _form_request(request, left, address):
-    """Return the bytes of an attempt, with what the daemon states itself."""
+def _format_attempt(request, remaining, address):
+    """Return the bytes of an attempt, including the headers the daemon sets."""
     headers = [
         *request.headers,
         ("X-Request-Id", request.attempt),
         ("Whinwinch-Root", request.root),
-        ("Whinwinch-Timeout", str(max(1, int(left * 1000)))),
+        ("Whinwinch-Timeout", str(max(1, int(remaining * 1000)))),
     ]
     if request.key:
         headers.append(("Idempotency-Key", request.key))
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -1,4 +1,4 @@
-"""Guards the own backend server: admission, wait, claim, run, answer."""
+"""Admission, claims and execution of attempts at the local backend server."""
 
 import asyncio
 
@@ -7,30 +7,33 @@
 from . import slots
 from .client import BackendClient
 
-# While the log is slow, work that waits for its claim holds slots. This share
-# keeps it from holding them all: reads would starve though their backend
-# server is idle.
-CLAIMING_SHARE = 0.25
-# How long a caller should stay away when nothing better is known.
+# Share of the slots that requests may occupy while they wait for their claims.
+# With a slow log they would otherwise occupy all slots, and reads would starve
+# although the backend server is idle.
+MAX_CLAIMING_SHARE = 0.25
+# Seconds after which a caller may retry when the gate gives no estimate.
 DEFAULT_RETRY_AFTER = 1.0
 
 
 class Gatekeeper:
-    """The state around one backend server.
+    """Admission control and execution for one backend server.
 
     Args:
-        clock: Returns the loop's time in seconds.
-        claim: Coroutine function from a `Request` to a `claims.ClaimVerdict`; it
-            waits while the log decides, at most until the deadline.
-        note_end: Takes a `Request` and its `Answer`; notes in the log how
-            claimed work ended.
-        ledger: `retries.Ledger` of the attempts inside.
+        clock: Function that returns the loop's time in seconds.
+        claim: Coroutine function from a `Request` to a `claims.ClaimVerdict`. It
+            waits for the log's verdict, at most until the request's deadline.
+        note_end: Function of a `Request` and its `Answer` that records in the log
+            how claimed work ended.
+        ledger: `retries.Ledger` of the running attempts' retry budgets.
         levels: `levels.LearnedLevels` of the daemon.
-        running: `running.RunningAttempts`.
-        takes_work: Returns whether new work is taken.
-        max_body: Largest answer taken, in bytes.
-        find_service: Takes a name, returns its `resources.ServiceSpec`.
-        trace_hooks: `recording.TraceHooks` for a trace.
+        running: `running.RunningAttempts` of the daemon.
+        takes_work: Function that returns whether new work is accepted.
+        max_body: Maximum size of an answer's body, in bytes.
+        find_service: Function from a service name to its `resources.ServiceSpec`.
+        trace_hooks: `recording.TraceHooks` that write trace records.
+
+    Attributes:
+        service: Name of the backend server's service, "" if there is none.
     """
 
     def __init__(
@@ -59,14 +62,18 @@
         self._slots = slots.Slots()
         self._client = None
         self._attempts = attempts.AttemptHistory()
-        self._claiming = 0
+        self._claims_pending = 0
         self._background = background.Background()
         self.service = ""
 
     def install(self, announcement):
-        """Guard the backend server of an announcement, or none."""
+        """Set the backend server to an announced one, or to none.
+
+        Args:
+            announcement: `registry.Announcement` of the backend server, or None.
+        """
         if self._client is not None:
-            # Kept connections may lead to one that has gone.
+            # Pooled connections may lead to a backend server that has gone.
             self._client.close()
         if announcement is None:
             self._client = None
@@ -74,53 +81,54 @@
             return
         self.service = announcement.service
         self._client = BackendClient(announcement.address, self._max_body)
-        if self._slots.are_known:
+        if self._slots.is_open:
             self._slots.resize(announcement.slots)
         else:
             self._slots.open(announcement.slots)
 
     def has_room(self):
-        """Return whether a request would be admitted without a wait."""
+        """Return whether a request would be admitted immediately."""
         takes_work = self._client is not None and self._takes_work()
         return takes_work and self._slots.has_room
 
     def load(self, request=None):
-        """Return the load of the backend server as the gate sees it.
+        """Return the `messages.Load` of the backend server as the gate observes it.
 
         Args:
-            request: The request that asks, for the level of its own flow.
+            request: Request whose flow's admission level to include, or None.
         """
         return self._slots.load(request)
 
     async def serve(self, request):
-        """Serve one attempt and return its answer."""
-        refused = self._refuse_for_below(request)
+        """Admit and run one attempt, or refuse it, and return its answer."""
+        refused = self._refuse_for_nested_calls(request)
         if refused is not None:
             return refused
         decision = await self._decide(request)
         admitted = decision.verdict is gate.Verdict.ADMIT
         self._trace_hooks.admission(request, admitted)
         if admitted:
-            return await self._serve_to_the_end(request)
+            return await self._run_admitted(request)
         answer = self._refuse(request, decision)
         self._trace_hooks.answered(answer)
         return answer
 
     async def _decide(self, request):
-        """Return the decision on an attempt, of the gate or before it."""
-        reason = self._check(request, self._clock())
+        """Return the `gate.Decision` on an attempt, waiting for it if required."""
+        reason = self._find_refusal_reason(request, self._clock())
         if reason is not None:
             return _build_refusal(request, reason)
-        most_wait = self._find_service(request.service).max_wait
-        decision = await self._slots.decide(request, most_wait)
+        max_wait = self._find_service(request.service).max_wait
+        decision = await self._slots.decide(request, max_wait)
         if decision.verdict is gate.Verdict.REFUSE and not decision.retry_after:
             return decision._replace(retry_after=DEFAULT_RETRY_AFTER)
         return decision
 
-    def _refuse_for_below(self, request):
-        """Refuse what the calls below would be refused for, or return None.
+    def _refuse_for_nested_calls(self, request):
+        """Refuse an attempt whose nested calls would be refused, or return None.
 
-        Let in, it would take a slot here for an answer that can't be whole.
+        If admitted, it would occupy a slot here for an answer that can't be
+        complete.
         """
         decision = self._levels.refuse_below(request, self._clock())
         if decision is None:
@@ -130,8 +138,8 @@
         self._trace_hooks.answered(answer)
         return answer
 
-    def _check(self, request, now):
-        """Return why a request can't be taken at all, or None."""
+    def _find_refusal_reason(self, request, now):
+        """Return the `Reason` to refuse a request without asking the gate, or None."""
         if not self._takes_work():
             return Reason.LEAVING
         if self._client is None or request.service != self.service:
@@ -142,11 +150,11 @@
             return Reason.ABANDONED
         return None
 
-    async def _serve_to_the_end(self, request):
-        """Serve an admitted attempt; claimed work also if its caller hangs up.
+    async def _run_admitted(self, request):
+        """Run an admitted attempt; claimed work also if its caller disconnects.
 
-        Broken off half way, a payout has perhaps been made, and its claim keeps
-        the caller that asks again from ever learning of it.
+        If a payout were cancelled midway, it might have been made, and its claim
+        would keep a caller that retries from ever learning the outcome.
         """
         if not request.key:
             return await self._serve_admitted(request)
@@ -160,7 +168,7 @@
         finally:
             self._slots.leave(request, answer, started)
             if answer is None:
-                # Its caller has hung up: the attempt ends, nobody knows how.
+                # The caller disconnected, so the outcome is unknown.
                 self._trace_hooks.answered(
                     messages.build_failure(request, Outcome.UNKNOWN, Reason.ABANDONED)
                 )
@@ -187,37 +195,38 @@
         return answer
 
     async def _claim_within_share(self, request):
-        """Return the log's verdict, or None when too many wait for theirs."""
-        limit = max(1, int(self._slots.load().limit * CLAIMING_SHARE))
-        if self._claiming >= limit:
+        """Return the log's verdict, or None if too many requests wait for theirs."""
+        limit = max(1, int(self._slots.load().limit * MAX_CLAIMING_SHARE))
+        if self._claims_pending >= limit:
             return None
-        self._claiming += 1
+        self._claims_pending += 1
         try:
             return await self._claim(request)
         finally:
-            self._claiming -= 1
+            self._claims_pending -= 1
 
     async def _run(self, request):
-        """Hand the request to the backend server."""
-        # Read again after the wait and the claim: a process that was paused
-        # there must not start work that its caller has given up on.
-        left = request.deadline - self._clock()
+        """Forward the request to the backend server and return its answer."""
+        # The clock is read again after the wait and the claim: a process that was
+        # paused meanwhile must not start work that its caller has given up on.
+        remaining = request.deadline - self._clock()
         client = self._client
-        if left <= 0 or client is None:
-            reason = Reason.DEADLINE if left <= 0 else Reason.NO_ENDPOINT
+        if remaining <= 0 or client is None:
+            reason = Reason.DEADLINE if remaining <= 0 else Reason.NO_ENDPOINT
             return _build_not_run(request, reason)
         self._ledger.open(request.attempt, request.budget, request.deadline)
         self._running.start(request)
         try:
-            answer = await client.forward(request, left)
+            answer = await client.forward(request, remaining)
             self._trace_hooks.run(request, answer)
         finally:
-            # Also when the caller has hung up: nothing may stay noted as inside.
+            # Also if the caller disconnected: no attempt may stay recorded as running.
             below = self._running.finish(request.attempt)
             unused = self._ledger.close(request.attempt)
         if answer.outcome is Outcome.COMPLETED:
-            # Also of requests that called nobody: where only some of a flow
-            # call on, the others must not be refused for the calls of these.
+            # Recorded also for requests without nested calls: where only some
+            # requests of a flow make nested calls, the others must not be refused
+            # because of them.
             self._levels.learn_below(request, below.level, self._clock())
         return _complete_answer(answer, below, unused)
 
@@ -227,14 +236,14 @@
         )
         answer = _build_not_run(request, decision.reason, decision.retry_after)
         if decision.reason is Reason.ABANDONED:
-            # The first copy of this message may be running.
+            # The first copy of this duplicate message may be running.
             answer = answer._replace(outcome=Outcome.UNKNOWN, unused=0)
         below = self._levels.below(request, self._clock())
         return answer._replace(load=self.load(request)._replace(below=below))
 
 
 def _complete_answer(answer, below, unused):
-    """Return an answer with what the calls below have met and the unused budget."""
+    """Return an answer with the result of the nested calls and the unused budget."""
     answer = answer._replace(unused=unused, load=messages.Load(below=below.level))
     if not answer.is_server_error or not below.refused:
         return answer
@@ -256,7 +265,7 @@
 
 
 def _answer_claim(request, verdict):
-    """Return the answer for work that this gatekeeper may not run."""
+    """Return the answer for work whose claim was not won."""
     reported = claims.get_reported_outcome(verdict)
     return Answer(
         request.attempt,
--- a/whinwinch/backends/guard.py
+++ b/whinwinch/backends/guard.py
@@ -1,9 +1,10 @@
-"""The only way to the backend server beside the daemon.
+"""Admission control and forwarding for the local backend server.
 
-Every attempt for the backend server passes here, from whichever daemon it comes.
-So admission, the order of waiting, its identity and its leaving are facts of this
-one process: nothing has to be agreed on with others to keep a request from a
-backend server that is leaving, or from another one that has got its address.
+Every attempt for the backend server passes through here, whichever daemon it comes
+from. Admission, the queue, and the backend server's identity and draining are
+therefore state of this one process: no agreement with other daemons is needed to
+keep a request away from a backend server that is leaving, or from another one that
+has been given the same address.
 """
 
 import asyncio
@@ -19,26 +20,29 @@
 from ..messages import Outcome, Reason, Refusal, build_failure
 from . import slots
 
-# The backend server answers by its deadline itself; its word is worth a little
-# more time than ours, which can't say whether it ran.
-ANSWER_SECONDS = 0.05
-# When a caller whose attempt was turned down for want of a backend server may
-# come back: a daemon that has just started hears of it within a heartbeat.
-ABSENT_RETRY_AFTER = 0.3
-# Requests name no caller here, and their paths tell kinds of request, not keys.
-NO_SHARES = ()
-# Largest answer taken from a backend server, in bytes.
-MOST_BODY = 16 << 20
+# Seconds after the deadline that an answer is still accepted. The backend server
+# enforces the deadline itself, and its answer says whether the request ran; a
+# timeout here can't.
+ANSWER_GRACE = 0.05
+# Seconds after which a caller may retry an attempt that was refused because there
+# was no backend server. A daemon that has just started learns of its backend server
+# within one heartbeat.
+NO_ENDPOINT_RETRY_AFTER = 0.3
+# Requests carry no caller here, and their paths identify kinds of request rather
+# than keys, so there is nothing to divide into fair shares.
+NO_FAIRNESS_DIMENSIONS = ()
+# Maximum size of an answer from a backend server, in bytes.
+MAX_ANSWER_BYTES = 16 << 20
 
 
 class Backend(NamedTuple):
-    """The backend server beside the daemon, as it announced itself.
+    """The local backend server, as it announced itself.
 
     Attributes:
-        identity: Identifier of this start of it.
-        service: Its service.
-        slots: Requests that it can work on at once.
-        leaving: Whether it takes no new work.
+        identity: Identifier of the backend server's process, new at every start.
+        service: Name of its service.
+        slots: Number of requests that it can process concurrently.
+        leaving: Whether it accepts no new work.
     """
 
     identity: str
@@ -48,15 +52,15 @@
 
 
 class Dialect(NamedTuple):
-    """How a backend server is spoken to.
+    """Functions that translate between attempts and the backend server's protocol.
 
     Attributes:
-        form: Function from a request, the seconds left and the backend server's
-            identity to the bytes to send.
-        judge: Function from a request and a `http1.messages.HttpResponse` to an
+        form: Formats a request, given the seconds until its deadline and the
+            backend server's identity, as the bytes to send.
+        judge: Converts a request and its `http1.messages.HttpResponse` to an
             `Answer`.
-        belongs: Function from a request and a `http1.messages.HttpResponse` to
-            whether it is the answer to this request.
+        belongs: Returns whether a `http1.messages.HttpResponse` is the answer to
+            a request.
     """
 
     form: Callable
@@ -65,25 +69,25 @@
 
 
 class Guard:
-    """Admission to, and the connections of, one backend server.
+    """Admission control and connection pool of one backend server.
 
     Args:
         address: `settings.Address` of the backend server.
-        dialect: `Dialect`.
-        budget: `repeats.RepeatBudget`.
-        find_wait: Function from a request to the seconds that it may wait for a
-            slot.
-        watch: `callgraph.CallGraph` that is told what runs.
+        dialect: `Dialect` of the backend server.
+        budget: `repeats.RepeatBudget` that limits repeats.
+        find_max_wait: Function from a request to the maximum time that it may wait
+            for a slot, in seconds.
+        call_graph: `callgraph.CallGraph` that records the running requests.
     """
 
-    def __init__(self, address, dialect, budget, find_wait, watch):
+    def __init__(self, address, dialect, budget, find_max_wait, call_graph):
         self._loop = asyncio.get_running_loop()
         self._dialect = dialect
-        self._pool = client.Pool(address.host, address.port, MOST_BODY)
-        self._repeats = budget
-        self._find_wait = find_wait
-        self._watch = watch
-        self._slots = slots.Slots(NO_SHARES)
+        self._pool = client.Pool(address.host, address.port, MAX_ANSWER_BYTES)
+        self._repeat_budget = budget
+        self._find_max_wait = find_max_wait
+        self._call_graph = call_graph
+        self._slots = slots.Slots(NO_FAIRNESS_DIMENSIONS)
         self._background = background.Background()
         self.backend = None
         self.is_stopping = False
@@ -91,10 +95,10 @@
         self.refused = collections.Counter()
 
     def install(self, backend):
-        """Guard a backend server from now on, or none.
+        """Set the backend server to forward to, or None.
 
-        What waits is refused as soon as the backend server leaves, and can then
-        be tried elsewhere.
+        Waiting requests are refused as soon as the backend server leaves, so that
+        they can be retried at another endpoint.
         """
         before = self.backend
         self.backend = backend
@@ -102,59 +106,59 @@
             self._slots.refuse_waiting()
             return
         if before is None or before.identity != backend.identity:
-            # Kept connections lead to the one before.
+            # Pooled connections lead to the previous backend server.
             self._pool.close()
             self._slots.open(backend.slots)
         elif before.slots != backend.slots:
             self._slots.resize(backend.slots)
 
     def has_room(self, service):
-        """Return whether a request for a service would be admitted at once."""
-        return self._find_obstacle(service) is None and self._slots.has_room
+        """Return whether a request for a service would be admitted immediately."""
+        return self._find_refusal_reason(service) is None and self._slots.has_room
 
     def load(self, request=None):
-        """Return the load of the backend server as the gate sees it."""
+        """Return the `messages.Load` of the backend server as the gate observes it."""
         return self._slots.load(request)
 
     def measure_usage(self):
-        """Return the `gate.SlotUsage` of the backend server's slots since its start."""
+        """Return the `gate.SlotUsage` since the backend server started."""
         return self._slots.measure_usage()
 
     def find_level(self, route):
-        """Return the admission level that requests of a route meet here."""
-        if self.backend is None or self._find_obstacle(self.backend.service):
+        """Return the admission level that applies to requests of a route here."""
+        if self.backend is None or self._find_refusal_reason(self.backend.service):
             return 0.0
         return self._slots.find_level(route)
 
     async def serve(self, request):
-        """Serve one attempt and return its answer."""
-        obstacle = self._find_obstacle(request.service)
-        if obstacle is None and request.deadline <= self._loop.time():
-            obstacle = Reason.DEADLINE
-        if obstacle is not None:
-            return self._refuse(request, obstacle, ABSENT_RETRY_AFTER)
-        if not self._count(request):
+        """Admit and run one attempt, or refuse it, and return its answer."""
+        reason = self._find_refusal_reason(request.service)
+        if reason is None and request.deadline <= self._loop.time():
+            reason = Reason.DEADLINE
+        if reason is not None:
+            return self._refuse(request, reason, NO_ENDPOINT_RETRY_AFTER)
+        if not self._count_attempt(request):
             return self._refuse(request, Reason.REPEATS, 0.0)
-        decision = await self._slots.decide(request, self._find_wait(request))
+        decision = await self._slots.decide(request, self._find_max_wait(request))
         if decision.verdict is not gate.Verdict.ADMIT:
             if request.again:
-                self._repeats.refund(self._loop.time())
+                self._repeat_budget.refund(self._loop.time())
             return self._refuse(request, decision.reason, decision.retry_after)
         return await self._run_admitted(request)
 
-    def _count(self, request):
-        """Count an attempt as a first or as a repeat; return whether it may go on."""
+    def _count_attempt(self, request):
+        """Count an attempt against the repeat budget; return whether it may proceed."""
         now = self._loop.time()
         if request.again:
-            return self._repeats.try_spend(request, now)
+            return self._repeat_budget.try_spend(request, now)
         if request.of_repeat:
-            self._repeats.record_nested_repeat(now)
+            self._repeat_budget.record_nested_repeat(now)
         else:
-            self._repeats.record_first_attempt(now)
+            self._repeat_budget.record_first_attempt(now)
         return True
 
     def stop(self):
-        """Take no new work; what waits can be tried elsewhere."""
+        """Accept no new work and refuse waiting requests, to be retried elsewhere."""
         self.is_stopping = True
         self._slots.refuse_waiting()
 
@@ -162,8 +166,8 @@
         """Close the idle connections."""
         self._pool.close()
 
-    def _find_obstacle(self, service):
-        """Return why no request of a service can be taken, or None."""
+    def _find_refusal_reason(self, service):
+        """Return the `Reason` to refuse every request of a service, or None."""
         backend = self.backend
         if self.is_stopping:
             return Reason.LEAVING
@@ -172,10 +176,11 @@
         return Reason.LEAVING if backend.leaving else None
 
     async def _run_admitted(self, request):
-        """Run an admitted attempt; one that can't be repeated runs to its end.
+        """Run an admitted attempt, to its end if it can't be repeated.
 
-        Broken off half way, a payout has perhaps been made and its caller is
-        told that nobody knows; with the answer the connection stays of use.
+        If a payout were cancelled midway, it might have been made while its caller
+        gets the outcome "unknown". Reading the answer also keeps the connection
+        reusable.
         """
         if request.repeatable:
             return await self._run(request)
@@ -184,15 +189,16 @@
     async def _run(self, request):
         started = self._loop.time()
         self.running += 1
-        # The backend server is told whole milliseconds, and its calls expire so.
-        told = int((request.deadline - started) * 1000.0) / 1000.0
-        self._watch.start(
+        # The timeout is sent in whole milliseconds, so the deadline of the backend
+        # server's own calls is rounded down in the same way.
+        sent_timeout = int((request.deadline - started) * 1000.0) / 1000.0
+        self._call_graph.start(
             request.attempt,
             callgraph.RunningRequest(
                 request.call,
                 request.root,
                 request.importance,
-                started + told,
+                started + sent_timeout,
                 request.due,
                 request.again or request.of_repeat,
             ),
@@ -204,44 +210,48 @@
         finally:
             self.running -= 1
             if request.again and answer is not None and _is_unsent(answer):
-                self._repeats.refund(self._loop.time())
+                self._repeat_budget.refund(self._loop.time())
             answered = answer is not None and answer.outcome is not Outcome.UNKNOWN
-            whole = answer is not None and answer.succeeded
-            self._watch.end(request.attempt, answered, whole)
+            succeeded = answer is not None and answer.succeeded
+            self._call_graph.end(request.attempt, answered, succeeded)
             self._slots.leave(request, answer, started)
         return answer._replace(load=self.load(request))
 
     async def _forward(self, request):
-        """Hand the attempt to the backend server; never raises for the network."""
+        """Forward the attempt and return its answer, also after a network error."""
         backend = self.backend
-        left = request.deadline - self._loop.time()
-        obstacle = self._find_obstacle(request.service)
-        if obstacle is not None or left <= 0.0:
-            return _build_not_run(request, obstacle or Reason.DEADLINE)
-        data = self._dialect.form(request, left, backend.identity)
+        remaining = request.deadline - self._loop.time()
+        reason = self._find_refusal_reason(request.service)
+        if reason is not None or remaining <= 0.0:
+            return _build_not_run(request, reason or Reason.DEADLINE)
+        data = self._dialect.form(request, remaining, backend.identity)
         try:
             response = await self._pool.exchange(
                 data,
-                request.deadline + ANSWER_SECONDS,
+                request.deadline + ANSWER_GRACE,
                 request.method == "HEAD",
                 functools.partial(self._dialect.belongs, request),
             )
         except client.NotSentError as error:
-            logging.info("backend server not reached: %s", error)
+            logging.info("failed to reach the backend server: %s", error)
             return _build_not_run(request, Reason.NOT_SENT)
         except client.BrokenError as error:
-            logging.info("attempt %s: %s", request.attempt, error)
+            logging.info(
+                "connection broken during attempt %s: %s", request.attempt, error
+            )
             return _build_unknown(request, Reason.BROKEN, 502)
         except TimeoutError:
             return _build_unknown(request, Reason.DEADLINE, 504)
-        return self._judge(request, response, backend)
+        return self._parse_answer(request, response, backend)
 
-    def _judge(self, request, response, backend):
+    def _parse_answer(self, request, response, backend):
         answer = self._dialect.judge(request, response)
         if answer.reason is Reason.WRONG_BACKEND and self.backend is backend:
-            # Another one has got its address: nothing goes there until it has
-            # announced itself here.
-            logging.warning("backend server %s is gone", backend.identity)
+            # Another backend server has this address. Nothing is forwarded to it
+            # until it has announced itself here.
+            logging.warning(
+                "backend server %s no longer serves its address", backend.identity
+            )
             self.install(None)
         return answer
 
--- a/whinwinch/backends/registry.py
+++ b/whinwinch/backends/registry.py
@@ -1,22 +1,22 @@
-"""The backend server that has announced itself to its daemon, under a lease."""
+"""Registration of the local backend server under a lease."""
 
 from typing import NamedTuple
 
 from ..errors import Finding, raise_findings
 from ..settings import parse_address
 
-HIGHEST_SLOTS = 100_000
-LONGEST_NAME = 64
+MAX_SLOTS = 100_000
+MAX_TEXT_LENGTH = 64
 
 
 class Announcement(NamedTuple):
-    """What a backend server says of itself.
+    """Announcement of a backend server to its daemon.
 
     Attributes:
         service: Name of its service.
         address: "host:port" where it serves.
-        slots: Requests that it can work on at once.
-        connections: Connections that it accepts.
+        slots: Number of requests that it can process concurrently.
+        connections: Maximum number of connections that it accepts.
         load: Path of its load endpoint, "" for none.
         health: Path of its health endpoint, "" for none.
     """
@@ -30,13 +30,16 @@
 
 
 class Registry:
-    """The present announcement and when its lease ends.
+    """The current announcement and the end of its lease.
 
-    A backend server that dies says nothing; without the lease its daemon would
-    take work for it for ever, and callers would see broken answers.
+    A backend server that crashes sends no withdrawal. Without the lease its daemon
+    would accept work for it forever, and callers would get broken answers.
 
     Args:
-        lease: Seconds for which one announcement is good.
+        lease: Seconds for which an announcement is valid.
+
+    Attributes:
+        announcement: Current `Announcement`, or None.
     """
 
     def __init__(self, lease):
@@ -45,30 +48,30 @@
         self.announcement = None
 
     def announce(self, announcement, now):
-        """Take an announcement; return whether anything but the lease changed."""
+        """Apply an announcement; return whether anything but the lease changed."""
         changed = announcement != self.announcement
         self.announcement = announcement
         self._expires = now + self._lease
         return changed
 
     def withdraw(self):
-        """Forget the backend server; return whether there was one."""
-        was_there = self.announcement is not None
+        """Remove the announcement; return whether there was one."""
+        was_announced = self.announcement is not None
         self.announcement = None
-        return was_there
+        return was_announced
 
     def expire(self, now):
-        """Forget the backend server when its lease is over; return whether so."""
+        """Remove the announcement if its lease is over; return whether it was."""
         if self.announcement is None or now < self._expires:
             return False
         return self.withdraw()
 
 
 def check_announcement(document):
-    """Return the announcement that a JSON document holds.
+    """Validate a decoded JSON document and return its `Announcement`.
 
     Raises:
-        InputErrors: With every finding.
+        InputErrors: With every finding, if the document is invalid.
     """
     if not isinstance(document, dict):
         raise_findings("announcement", [Finding("body", "must be a JSON object")])
@@ -88,9 +91,9 @@
 def _check_text(document, name, required):
     value = document.get(name, None if required else "")
     if not isinstance(value, str) or (required and not value):
-        yield Finding(name, "must be a text")
-    elif len(value) > LONGEST_NAME:
-        yield Finding(name, f"must have at most {LONGEST_NAME} characters")
+        yield Finding(name, "must be a string")
+    elif len(value) > MAX_TEXT_LENGTH:
+        yield Finding(name, f"must have at most {MAX_TEXT_LENGTH} characters")
 
 
 def _check_address(document):
@@ -103,5 +106,5 @@
 def _check_number(document, name):
     value = document.get(name)
     is_number = isinstance(value, int) and not isinstance(value, bool)
-    if not is_number or not 1 <= value <= HIGHEST_SLOTS:
-        yield Finding(name, f"must be a whole number from 1 to {HIGHEST_SLOTS}")
+    if not is_number or not 1 <= value <= MAX_SLOTS:
+        yield Finding(name, f"must be a whole number from 1 to {MAX_SLOTS}")
