--- a/test/logservice/test_claimer.py
+++ b/test/logservice/test_claimer.py
@@ -1,4 +1,4 @@
-"""Tests of the task that claims, with a log in memory and a paused clock."""
+"""Tests of the claimer with an in-memory log and a simulated clock."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 
 class PausedLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock jumps to the next timer instead of waiting."""
+    """An event loop whose clock advances to the next timer instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -51,11 +51,11 @@
 
 
 class FakeLog:
-    """A log in memory whose calls fail as the test says.
+    """An in-memory log with scripted failures.
 
-    `faults` holds one entry for each coming append: None lets it through,
-    "refused" loses it, "lost" loses its answer only. Afterwards all succeed,
-    unless `down` is set.
+    `faults` has one entry for each of the next appends: with None it succeeds, with
+    "refused" it is not written, with "lost" only its answer is lost. All further
+    appends succeed unless `down` is set.
     """
 
     def __init__(self, loop):
@@ -139,16 +139,16 @@
         return entries
 
     def test_one_claim_wins_and_the_other_loses(self):
-        """A caller asks again at another daemon while the first is at work."""
+        """Guards against a retry at another daemon winning the same key."""
         key = make_key()
         self.assertIs(self.claim(self.start("g1"), key).verdict, Verdict.WON)
         lost = self.claim(self.start("g2"), key, "a2")
         self.assertEqual(lost[:2], (Verdict.LOST, "a1"))
 
-    def test_the_second_copy_of_a_message_does_not_run(self):
-        """A request reaches its gatekeeper twice.
+    def test_a_duplicate_message_does_not_run(self):
+        """Guards against running a request that reaches its gatekeeper twice.
 
-        Both copies carry the same attempt, so the log alone would let both run.
+        Both copies carry the same attempt, so by the log alone both would win.
         """
         one = self.start()
         key = make_key()
@@ -159,38 +159,39 @@
         one = self.start()
 
         async def claim_many():
-            asks = [one.claim(make_key(), f"a{n}", 60.0) for n in range(300)]
-            return await asyncio.gather(*asks)
+            claim_calls = [one.claim(make_key(), f"a{n}", 60.0) for n in range(300)]
+            return await asyncio.gather(*claim_calls)
 
         verdicts = self.wait(claim_many())
         self.assertEqual({each.verdict for each in verdicts}, {Verdict.WON})
         self.assertLessEqual(self.log.appends, 2)
 
-    def test_appends_become_rarer_when_the_log_slows_down(self):
-        """Hundreds of gatekeepers share one log, and it nears its limit.
+    def test_appends_become_less_frequent_when_the_log_slows_down(self):
+        """Guards against overloading a log that hundreds of gatekeepers share.
 
-        If each went on at its own pace the log would fail for all of them.
+        If each kept its append rate near the log's limit, the log would fail for all.
         """
         one = self.start(run=self.make_slow_runner(0.1))
 
         async def claim_for(seconds):
-            asks = []
+            claim_calls = []
             while self.loop.time() < seconds:
-                ask = one.claim(make_key(), f"a{len(asks)}", 60.0)
-                asks.append(asyncio.ensure_future(ask))
+                claim_call = one.claim(make_key(), f"a{len(claim_calls)}", 60.0)
+                claim_calls.append(asyncio.ensure_future(claim_call))
                 await asyncio.sleep(0.01)
-            return await asyncio.gather(*asks)
+            return await asyncio.gather(*claim_calls)
 
         verdicts = self.wait(claim_for(10.0))
         self.assertEqual({each.verdict for each in verdicts}, {Verdict.WON})
         self.assertLessEqual(self.log.appends, 10.0 / (3 * 0.1))
 
-    def test_a_claim_that_would_wait_too_long_is_refused_at_once(self):
-        """The log is so slow that the next append comes after the deadline.
+    def test_a_claim_that_would_wait_too_long_is_refused_immediately(self):
+        """Guards against a claim waiting in vain for an append after its deadline.
 
-        The caller hears at once that it was not run, and nothing is released.
+        The log is slow. The caller learns immediately that the request was not run,
+        and no release is needed.
         """
-        one = self.start(run=self.make_slow_runner(0.9), patience=5.0)
+        one = self.start(run=self.make_slow_runner(0.9), verdict_timeout=5.0)
         for number in range(8):
             self.claim(one, make_key(), f"a{number}")
         before = self.loop.time()
@@ -207,19 +208,19 @@
 
         return run
 
-    def test_a_lost_answer_is_settled_by_reading_on(self):
-        """The log takes the claim but its answer is lost.
+    def test_a_lost_answer_is_resolved_by_reading_on(self):
+        """Guards against losing a claim whose append was written but not answered.
 
-        The writer cannot know whether to run; it reads and finds its claim.
+        The writer can't know whether it has won until it reads its claim back.
         """
         self.log.faults = ["lost"]
         self.assertIs(self.claim(self.start(), make_key()).verdict, Verdict.WON)
         self.assertEqual(self.log.appends, 1)
 
-    def test_a_log_that_is_down_is_answered_at_once(self):
-        """The log is down and a payout comes.
+    def test_claims_are_refused_immediately_while_the_log_is_down(self):
+        """Guards against a payout waiting for a log that is down.
 
-        The caller is told promptly that it was not run and when to come back.
+        The caller learns promptly that it was not run and when to retry.
         """
         self.log.down = True
         one = self.start()
@@ -232,28 +233,28 @@
         self.assertEqual(self.loop.time(), before)
 
     def test_a_claim_that_was_given_up_is_released(self):
-        """The log takes a claim, then goes down before it can be read back.
+        """Guards against a key that stays claimed after an outage of the log.
 
-        The caller hears "not run". When the log is back the same key must be
-        free for the caller's next attempt.
+        The log writes a claim and fails before it can be read back, so the caller
+        gets "not run". Afterwards the key must be free for the caller's retry.
         """
         one = self.start()
         key = make_key()
         append = self.log.append
 
-        def append_and_fall(*arguments):
+        def append_and_go_down(*arguments):
             self.log.down = True
             self.log.append = append
             self.log.records.append(Record(0, self.log.get_time(), arguments[1]))
             raise LogUnavailable(None)
 
-        self.log.append = append_and_fall
+        self.log.append = append_and_go_down
         self.assertIs(self.claim(one, key).verdict, Verdict.LOG_DOWN)
         self.log.down = False
         self.wait(one.flush())
         self.assertIs(self.claim(one, key, "a2").verdict, Verdict.WON)
 
-    def test_the_log_is_used_again_when_it_is_back(self):
+    def test_the_log_is_used_again_after_an_outage(self):
         one = self.start()
         self.log.down = True
         refused = self.claim(one, make_key())
@@ -262,9 +263,9 @@
         self.assertIs(self.claim(one, make_key(), "a2").verdict, Verdict.WON)
 
     def test_a_claim_past_its_deadline_never_wins(self):
-        """The log hangs until the caller's deadline has passed.
+        """Guards against running work whose verdict arrives after the deadline.
 
-        What comes back then is too late to be run.
+        The log hangs until the caller's deadline has passed.
         """
         gate = asyncio.Event()
 
@@ -281,31 +282,34 @@
         other = self.start("g2")
         self.assertIs(self.claim(other, key, "a2").verdict, Verdict.WON)
 
-    def test_a_caller_that_goes_away_gives_the_key_back(self):
+    def test_a_caller_that_disconnects_releases_the_key(self):
         one = self.start()
         key = make_key()
 
-        async def ask_and_leave():
-            ask = asyncio.ensure_future(one.claim(key, "a1", 60.0))
+        async def claim_and_cancel():
+            claim_call = asyncio.ensure_future(one.claim(key, "a1", 60.0))
             while not self.log.records:
                 await asyncio.sleep(0)
-            ask.cancel()
-            await asyncio.gather(ask, return_exceptions=True)
+            claim_call.cancel()
+            await asyncio.gather(claim_call, return_exceptions=True)
 
-        self.wait(ask_and_leave())
+        self.wait(claim_and_cancel())
         self.wait(one.flush())
         self.assertIs(self.claim(one, key, "a2").verdict, Verdict.WON)
 
-    def test_a_stream_whose_records_are_gone_can_be_used(self):
-        """A service pays once an hour, the log keeps records for less."""
+    def test_a_stream_whose_records_were_dropped_can_be_used(self):
+        """Guards against failing claims where retention has emptied the stream.
+
+        A service makes one payout an hour and the log keeps records for less.
+        """
         self.claim(self.start("g1"), make_key())
         self.log.drop_all()
         self.assertIs(self.claim(self.start("g2"), make_key()).verdict, Verdict.WON)
 
-    def test_a_new_reader_skips_what_no_longer_matters(self):
-        """A new gatekeeper of a busy service gets its first payout.
+    def test_a_new_reader_skips_expired_records(self):
+        """Guards against a new gatekeeper reading the whole stream of a busy service.
 
-        Reading all that the log keeps would take longer than the caller waits.
+        That would take longer than the caller of the first payout waits.
         """
         key = make_key()
         old = claims.encode_batch([Claim(make_key(), "x", "g0")])
@@ -328,10 +332,11 @@
         self.assertLess(len(reads), 60)
 
     def test_records_dropped_after_the_append_are_a_gap(self):
-        """The daemon is paused between append and read, past the retention.
+        """Guards against winning a claim after unread records were dropped.
 
-        What it cannot read may hold an earlier claim, so it does not run. Its
-        own claim is released, for readers that do see it.
+        The daemon is paused between append and read for longer than the retention.
+        The dropped records may contain an earlier claim, so the work does not run.
+        Its claim is released for readers that did see it.
         """
         one = self.start()
         append = self.log.append
@@ -357,7 +362,7 @@
         self.assertIs(self.claim(self.start(), old).verdict, Verdict.STALE)
         self.assertIs(self.claim(self.start(), "k").verdict, Verdict.STALE)
 
-    def test_done_notes_reach_later_claims(self):
+    def test_done_records_reach_later_claims(self):
         one = self.start()
         key = make_key()
         self.claim(one, key)
@@ -367,12 +372,12 @@
         self.assertEqual(later[:4], (Verdict.LOST, "a1", True, 201))
 
     def test_at_most_one_attempt_wins_whatever_fails(self):
-        """Appends fail in every way while callers ask again everywhere."""
+        """Guards against two winners while appends fail and callers retry."""
         generator = random.Random(11)
         for _ in range(60):
             self.log.faults = generator.choices([None, "lost", "refused"], k=12)
             self.log.records.clear()
-            ones = [self.start(f"g{n}", patience=5.0) for n in range(3)]
+            ones = [self.start(f"g{n}", verdict_timeout=5.0) for n in range(3)]
             key = make_key()
             verdicts = [
                 self.claim(generator.choice(ones), key, f"a{n}") for n in range(6)
--- a/test/logservice/test_client.py
+++ b/test/logservice/test_client.py
@@ -1,4 +1,4 @@
-"""The log client against a server that answers as each test scripts it."""
+"""Tests of the log client against a server with scripted answers."""
 
 import base64
 import json
@@ -81,10 +81,11 @@
             b"GET /streams/members?offset=3&limit=10&wait=0.5 HTTP/1.1",
         )
 
-    def test_refused_connection_is_surely_not_written(self):
-        """The log's process is gone; the port refuses connections.
+    def test_refused_connection_is_reported_as_not_written(self):
+        """Guards against reporting a refused connection as an unknown result.
 
-        A caller of non-idempotent work may be told that it was not run.
+        The log's process has exited. The caller of non-idempotent work can get the
+        outcome that it was not run.
         """
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
@@ -93,7 +94,7 @@
             log.append("claims", b"x")
         self.assertIs(caught.exception.written, False)
 
-    def test_statuses_tell_what_is_known(self):
+    def test_status_determines_whether_the_record_was_written(self):
         for status, written in ((503, False), (404, False), (500, None), (200, None)):
             with self.subTest(status=status):
                 _, log = self.connect(answer_with(status, {}))
@@ -101,11 +102,12 @@
                     log.append("claims", b"x")
                 self.assertIs(caught.exception.written, written)
 
-    def test_lost_answer_is_unknown_and_not_tried_again(self):
-        """The log takes the record, then the connection breaks.
+    def test_lost_answer_is_unknown_and_not_retried(self):
+        """Guards against appending a record twice after a lost answer.
 
-        A second try would put a payout's claim into the stream twice, so the
-        client sends it once and says that it doesn't know.
+        The log writes the record, then the connection breaks. A retry would add a
+        payout's claim to the stream twice, so the client sends it once and reports
+        the result as unknown.
         """
         for answer in (b"", answer_with(201, {"offset": 7}, cut=3), b"HTTP/1.1 2"):
             with self.subTest(answer=answer):
@@ -116,9 +118,10 @@
                 self.assertEqual(len(server.requests), 1)
 
     def test_silent_log_is_unknown(self):
-        """The log accepts the connection and never answers.
+        """Guards against hanging on a log that never answers.
 
-        Whoever waits for a claim gets an answer in time, and it is honest.
+        The log accepts the connection only. The caller gets a timely error that
+        leaves the result unknown.
         """
         with socket.create_server(("127.0.0.1", 0)) as listener:
             log = client.LogClient("http://127.0.0.1:%d" % listener.getsockname()[1])
@@ -127,7 +130,7 @@
                 log.append("claims", b"x", timeout=0.05)
         self.assertIs(caught.exception.written, None)
 
-    def test_cut_page_is_an_error_and_never_part_of_one(self):
+    def test_truncated_page_is_an_error_and_never_a_partial_page(self):
         page = {"first": 0, "next": 0, "records": []}
         for answer in (
             answer_with(200, page, cut=2),
--- a/test/logservice/test_follower.py
+++ b/test/logservice/test_follower.py
@@ -1,4 +1,4 @@
-"""The task that reads the configuration, on a clock that jumps."""
+"""Tests of the task that reads the configuration, with a simulated clock."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 
 class FakeLog:
-    """Keeps records from `first` on; `down` makes every read fail."""
+    """A log that keeps records from `first` on; `down` makes every read fail."""
 
     def __init__(self, *data):
         self.records = build_records(*data)
@@ -30,7 +30,7 @@
 
 class FollowerTest(unittest.TestCase):
     def follow(self, log, seconds, act=lambda: None, is_reader=lambda now: True):
-        """Run the task; halfway through, call `act`."""
+        """Run the task for some seconds and call `act` after half of them."""
         configuration = FakeConfiguration()
 
         async def main():
@@ -60,16 +60,16 @@
         self.assertTrue(woken)
         self.assertLessEqual(age, follower.POLL_WAIT)
 
-    def test_does_not_read_when_it_is_not_its_turn(self):
+    def test_does_not_read_when_it_is_not_a_reader(self):
         log = FakeLog(b"a")
         configuration, woken, _ = self.follow(log, 60.0, is_reader=lambda now: False)
         self.assertEqual((log.reads, configuration.offset, woken), (0, 0, False))
 
-    def test_comes_back_soon_after_an_outage_without_a_storm(self):
-        """The log is down for long, then comes back.
+    def test_recovers_soon_after_an_outage_at_a_bounded_rate(self):
+        """Guards against a burst of reads after a long outage of the log.
 
-        A reader tries at a bounded rate meanwhile, and a change is read within
-        seconds afterwards.
+        A reader retries at a bounded rate during the outage, and reads a change
+        within seconds afterwards.
         """
         log = FakeLog(b"a")
         log.down = True
@@ -81,15 +81,16 @@
             log.down = False
 
         configuration, _, _ = self.follow(log, seconds, end_outage)
-        shortest = follower.LONGEST_BACKOFF / 2
+        shortest = follower.MAX_BACKOFF / 2
         self.assertLess(half[0], seconds / 2 / shortest + 10)
         self.assertEqual(configuration.offset, 1)
 
-    def test_goes_back_to_what_a_snapshot_does_not_cover(self):
-        """Retention has dropped the first records.
+    def test_returns_to_records_that_a_snapshot_does_not_cover(self):
+        """Guards against losing records that were written during a snapshot.
 
-        The reader takes nothing after the gap until it finds a snapshot, then
-        reads again what was written while the snapshot was.
+        Retention has dropped the first records. The reader applies nothing after
+        the gap until it finds a snapshot, then reads again the records that the
+        snapshot does not cover.
         """
         log = FakeLog(b"a", b"b", b"c", b"s2", b"d")
         log.first = 1
@@ -103,10 +104,10 @@
         self.assertEqual(configuration.offset, 0)
         self.assertEqual(age, float("inf"))
 
-    def test_backoff_is_bounded_and_spread(self):
+    def test_backoff_is_bounded_and_jittered(self):
         source = random.Random(1)
-        waits = [follower.find_backoff(50, source) for _ in range(100)]
-        self.assertLessEqual(max(waits), follower.LONGEST_BACKOFF)
+        waits = [follower.draw_backoff(50, source) for _ in range(100)]
+        self.assertLessEqual(max(waits), follower.MAX_BACKOFF)
         self.assertGreater(max(waits) - min(waits), 1.0)
 
 
--- a/test/logservice/test_joining.py
+++ b/test/logservice/test_joining.py
@@ -1,4 +1,4 @@
-"""Joining through the log, with daemons and a log in memory."""
+"""Tests of joining through the log, with daemons and a log in memory."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 
 class MembersLog(FakeLog):
-    """A fake log that takes appends too and counts them."""
+    """A fake log that also accepts appends."""
 
     async def append(self, data):
         if self.down:
@@ -35,7 +35,7 @@
 
 
 def run_mesh(steps):
-    """Run `steps(network, log)` on a jumping clock, and stop the daemons."""
+    """Run `steps(network, log)` on a simulated clock, then stop the daemons."""
 
     async def main():
         network, log = Network(), MembersLog()
@@ -57,9 +57,9 @@
 
 class JoiningTest(unittest.TestCase):
     def test_daemons_that_start_together_become_one_mesh(self):
-        """A whole mesh starts at once, with an empty log.
+        """Guards against a partitioned mesh after a simultaneous start.
 
-        Nobody may be left in a part of its own.
+        All daemons start at once with an empty log.
         """
 
         async def steps(network, log):
@@ -69,10 +69,11 @@
 
         run_mesh(steps)
 
-    def test_restart_of_a_zone_does_not_storm_the_log(self):
-        """Sixty daemons of a zone restart in one moment.
+    def test_restart_of_a_zone_does_not_overload_the_log(self):
+        """Guards against a burst of appends when a zone restarts.
 
-        Their appends would compete with the claims of everybody's payouts.
+        Sixty daemons restart simultaneously; their appends would compete with the
+        claims of all payouts.
         """
 
         async def steps(network, log):
@@ -112,10 +113,10 @@
         run_mesh(steps)
 
     def test_daemon_that_starts_while_the_log_is_down_joins_afterwards(self):
-        """An instance is replaced during an outage of the log.
+        """Guards against a daemon staying alone after an outage of the log.
 
-        It finds nobody, keeps trying at a bounded rate and joins when the log
-        is back.
+        An instance is replaced during the outage. It finds no peers, retries at a
+        bounded rate and joins when the log is available again.
         """
 
         async def steps(network, log):
@@ -127,23 +128,24 @@
             newcomer = start(network, log, 10)
             await asyncio.sleep(300.0)
             self.assertEqual(len(newcomer.members), 1)
-            self.assertLess(log.reads - reads, 2 * 300 / joining.LONGEST_BACKOFF + 60)
+            self.assertLess(log.reads - reads, 2 * 300 / joining.MAX_BACKOFF + 60)
             log.down = False
             await wait_for(is_whole(network, 5), 60.0)
 
         run_mesh(steps)
 
-    def test_two_meshes_find_each_other_through_the_log(self):
-        """Two daemons each believe to be alone and then write their joins.
+    def test_two_meshes_discover_each_other_through_the_log(self):
+        """Guards against two partial meshes that stay separate.
 
-        Calls would fail for want of endpoints that are there.
+        Each has written its joins without knowing the other. Calls would fail for
+        lack of endpoints although they exist.
         """
 
         async def steps(network, log):
             for number in range(2):
                 start(network, log, number)
             await wait_for(is_whole(network, 2))
-            # Two others that know each other only, as after a lost log.
+            # Two other daemons know only each other, as after the log lost its data.
             other = MembersLog()
             pair = [start(network, other, number) for number in (7, 8)]
             await wait_for(lambda: {len(d.members) for d in pair} == {2})
@@ -154,10 +156,10 @@
 
         run_mesh(steps)
 
-    def test_retention_that_empties_the_stream_is_made_up(self):
-        """The log has dropped all joins, and a daemon starts.
+    def test_joins_are_written_again_after_retention_empties_the_stream(self):
+        """Guards against a new daemon staying alone after all joins were dropped.
 
-        The living have to write again, or it would stay alone.
+        The running daemons have to write joins again.
         """
 
         async def steps(network, log):
--- a/test/logservice/test_keyed.py
+++ b/test/logservice/test_keyed.py
@@ -1,4 +1,4 @@
-"""Tests of copies of a keyed topic, and of when the log is read for them."""
+"""Tests of copies of a keyed topic and of the decision to read the log."""
 
 import unittest
 
@@ -19,30 +19,31 @@
         self.copy.take_newest((OLD,), 5)
         self.assertEqual((self.copy.end, self.applied), (5, [OLD]))
 
-    def test_topic_that_is_empty_counts_as_read(self):
+    def test_empty_topic_counts_as_read(self):
         self.copy.take_newest((), 0)
         self.assertTrue(self.copy.is_known)
 
     def test_records_that_leave_a_gap(self):
-        """A peer hands on what is too new for this copy.
+        """Guards against applying records that leave a gap.
 
-        Taken, the records between them would be missing for ever.
+        A peer sends records that are too new for this copy; the records in between
+        would be missing forever.
         """
         self.copy.take_newest((OLD,), 4)
         self.assertFalse(self.copy.take((NEW,), 6, 8))
         self.assertEqual((self.copy.end, self.applied), (4, [OLD]))
 
-    def test_older_copy_of_a_peer(self):
-        """A peer that was cut off for a while hands on what it knew before.
+    def test_outdated_copy_of_a_peer(self):
+        """Guards against restoring a configuration that has been replaced.
 
-        Taken, callers would meet a configuration that has been replaced.
+        A peer that was unreachable for a while sends its outdated records.
         """
         self.copy.take_newest((NEW,), 8)
         self.assertTrue(self.copy.take((OLD,), 0, 4))
         self.copy.take_newest((OLD,), 4)
         self.assertEqual((self.copy.end, self.applied), (8, [NEW]))
 
-    def test_doubled_records_are_applied_once(self):
+    def test_duplicate_records_are_applied_once(self):
         for _ in range(2):
             self.copy.take((OLD,), 0, 4)
         self.assertEqual(self.applied, [OLD])
@@ -51,18 +52,18 @@
         self.copy.take((OLD, NEW), 0, 8)
         self.assertEqual(self.applied, [NEW])
 
-    def test_key_that_went_while_the_history_was_lost(self):
-        """An instance leaves, then the log drops its history.
+    def test_key_deleted_before_the_history_was_dropped(self):
+        """Guards against calls to an instance whose deletion was never read.
 
-        The newest records don't name it any more; unless its absence counts, calls
-        would go on being sent to it.
+        The instance leaves, then the log drops its history. The newest records no
+        longer contain its key, and its absence has to count as a deletion.
         """
         gone = Record("h:1", b"endpoint", 1)
         self.copy.take_newest((gone, OLD), 4)
         self.copy.take_newest((OLD,), 9)
         self.assertEqual(self.applied[2:], [Record("h:1", b"", 8)])
 
-    def test_what_is_handed_on_brings_another_copy_up_to_date(self):
+    def test_sent_records_bring_another_copy_up_to_date(self):
         other = keyed.Copy(lambda records: None)
         self.copy.take((OLD, Record("a", b"1", 4), Record("b", b"2", 5)), 0, 6)
         other.take(self.copy.give(0), 0, self.copy.end)
@@ -70,19 +71,20 @@
         self.assertTrue(other.take(self.copy.give(other.end), other.end, 8))
         self.assertEqual(other.give(0), self.copy.give(0))
 
-    def test_copy_that_knows_nothing_hands_on_nothing(self):
+    def test_copy_that_was_never_filled_sends_nothing(self):
         self.assertIsNone(self.copy.give(0))
 
-    def test_keys_that_went_are_not_kept_for_ever(self):
-        """Instances are replaced every day, each with an address of its own.
+    def test_deleted_keys_are_not_kept_forever(self):
+        """Guards against deleted keys filling the memory within weeks.
 
-        Kept for ever they would fill the memory within weeks; once forgotten, a copy
-        that may still hold them is told nothing and reads the log.
+        Instances are replaced every day, each with a new address. Once deleted keys
+        are discarded, a copy that may still contain them is sent nothing and has to
+        read the log.
         """
-        for number in range(2 * keyed.MOST_DROPPED):
+        for number in range(2 * keyed.MAX_DELETED_KEYS):
             gone = Record(f"h:{number}", b"", number)
             self.copy.take((gone,), number, number + 1)
-        self.assertLessEqual(len(self.copy.give(0)), keyed.MOST_DROPPED)
+        self.assertLessEqual(len(self.copy.give(0)), keyed.MAX_DELETED_KEYS)
         self.assertIsNone(self.copy.give(1))
         self.assertIsNotNone(self.copy.give(self.copy.end - 1))
 
@@ -97,71 +99,75 @@
     def must_read(self, now):
         return self.following.must_read(False, now)
 
-    def test_nothing_known_is_read(self):
+    def test_copy_that_was_never_filled_is_read(self):
         unread = keyed.Following(keyed.Copy(lambda records: None), PATIENCE)
         self.assertTrue(unread.must_read(False, 0.0))
 
-    def test_newcomers_are_asked_one_after_the_other(self):
-        """Hundreds of daemons start together, and the log can't be read yet.
+    def test_new_peers_are_asked_one_after_another(self):
+        """Guards against hundreds of peers sending the whole topic at once.
 
-        Asked by each daemon that connects, all of them would send the whole topic.
+        All daemons start together and the log can't be read yet, so each peer that
+        connects could be asked for the topic.
         """
         unread = keyed.Following(keyed.Copy(lambda records: None), PATIENCE)
         asked = [unread.ask_all(0.001 * number) for number in range(200)]
         self.assertEqual(asked.count(True), 1)
-        # The one that was asked may hang.
-        self.assertTrue(unread.ask_all(keyed.ASK_SECONDS))
+        # The peer that was asked may hang.
+        self.assertTrue(unread.ask_all(keyed.REQUEST_TIMEOUT))
         self.assertFalse(self.following.ask_all(9.0))
 
-    def test_reader_reads_whatever_peers_tell(self):
+    def test_reader_reads_regardless_of_reports_from_peers(self):
         self.assertTrue(self.following.must_read(True, 0.0))
 
-    def test_peers_that_confirm_save_the_reading(self):
+    def test_confirmations_from_peers_make_a_read_unnecessary(self):
         for step in range(1, 10):
             self.assertFalse(self.following.take_end(4, float(step)))
             self.assertFalse(self.must_read(step + 0.9))
 
-    def test_peers_that_fall_silent(self):
-        """The daemon that read for this one is cut off or dies.
+    def test_peers_that_stop_reporting(self):
+        """Guards against missing changes when the reader of the group fails.
 
-        A change made then must be in force here within two seconds all the same.
+        The reader becomes unreachable or dies; a change must still take effect here
+        within two seconds.
         """
         self.following.take_end(4, 1.0)
         self.assertFalse(self.must_read(1.0 + PATIENCE))
         self.assertTrue(self.must_read(1.01 + PATIENCE))
 
-    def test_newer_end_is_asked_for_once(self):
+    def test_records_up_to_a_newer_end_are_requested_once(self):
         self.assertTrue(self.following.take_end(8, 1.0))
         self.assertFalse(self.following.take_end(8, 1.1))
-        self.assertTrue(self.following.take_end(8, 1.0 + 2 * keyed.ASK_SECONDS))
+        self.assertTrue(self.following.take_end(8, 1.0 + 2 * keyed.REQUEST_TIMEOUT))
 
-    def test_records_that_come_confirm_the_copy(self):
+    def test_received_records_confirm_the_copy(self):
         self.following.take_end(8, 1.0)
         self.following.take_records((NEW,), 4, 8)
         self.assertEqual(self.copy.end, 8)
         self.assertFalse(self.must_read(1.0 + PATIENCE))
 
-    def test_newer_end_that_nobody_delivers(self):
-        """A peer tells of a change and then dies before it hands it on.
+    def test_newer_end_whose_records_never_arrive(self):
+        """Guards against treating the report of a newer end as a confirmation.
 
-        Its word says that this copy is old, not that it is confirmed.
+        A peer reports a change and dies before it sends the records.
         """
         self.following.take_end(8, 1.0)
         self.assertTrue(self.must_read(PATIENCE + 0.01))
 
     def test_older_end_confirms_nothing(self):
-        """A store answers with what it held seconds ago, and a peer tells its end.
+        """Guards against a confirmation by outdated data.
 
-        Taken for a confirmation, a copy would count as new while a change is missed.
+        A store answers with the state of some seconds ago, and a peer reports that
+        end. The copy would count as current while a change is missing.
         """
         self.assertFalse(self.following.take_end(2, 1.0))
         self.assertEqual(self.copy.end, 4)
         self.assertTrue(self.must_read(PATIENCE + 0.01))
 
-    def test_read_that_hung_while_peers_told_of_more(self):
-        """A read is answered late with the end of a moment before.
+    def test_read_that_hung_while_peers_reported_a_newer_end(self):
+        """Guards against a late read confirming copies that miss a change.
 
-        Told on, it would confirm the copies of others that miss the change.
+        The answer contains an outdated end, which would otherwise be reported to
+        peers.
         """
         self.following.take_end(8, 1.0)
         self.following.take_records((NEW,), 4, 8)
@@ -170,10 +176,11 @@
         self.assertTrue(self.following.note_read(8, 3.0))
         self.assertFalse(self.must_read(2.9 + PATIENCE))
 
-    def test_records_confirm_only_up_to_the_end_that_was_told_last(self):
-        """One peer tells of a change, then another that is behind tells its end.
+    def test_records_confirm_only_as_of_the_report_of_their_end(self):
+        """Guards against a later report of a lower end extending a confirmation.
 
-        The records of the change confirm the copy as of the first telling only.
+        One peer reports a change, then another peer that is behind reports its end.
+        The records of the change confirm the copy as of the first report only.
         """
         self.following.take_end(8, 1.0)
         self.following.take_end(6, 2.0)
--- a/test/logservice/test_readers.py
+++ b/test/logservice/test_readers.py
@@ -1,4 +1,4 @@
-"""Who reads the log for a zone."""
+"""Tests of the selection of a zone's log readers."""
 
 import unittest
 
@@ -27,13 +27,13 @@
         zones = [member.endpoint.zone for member in found]
         self.assertEqual(
             {zone: zones.count(zone) for zone in zones},
-            dict.fromkeys(["zone-0", "zone-1", "zone-2"], readers.READERS),
+            dict.fromkeys(["zone-0", "zone-1", "zone-2"], readers.READERS_PER_ZONE),
         )
 
     def test_others_take_over_from_readers_that_die(self):
-        """All readers of a zone die at once.
+        """Guards against a zone without readers after all of them die at once.
 
-        The next in rank read as soon as they know, without being told to.
+        The next daemons in rank read as soon as they detect it.
         """
         dead = set(self.find_readers())
         self.members = [
@@ -41,15 +41,15 @@
         ]
         alive = [m for m in self.members if m.state is State.ALIVE]
         found = [m for m in alive if m in self.find_readers()]
-        self.assertEqual(len(found), 3 * readers.READERS)
+        self.assertEqual(len(found), 3 * readers.READERS_PER_ZONE)
 
-    def test_a_few_more_read_while_nobody_hears_from_the_log(self):
-        """The readers live but can't reach the log, while others could.
+    def test_spare_readers_read_while_the_configuration_is_not_confirmed(self):
+        """Guards against a zone whose readers are alive but can't reach the log.
 
-        Then a few more try, and never all of them, which would storm the log
-        when it comes back.
+        A few more daemons read then, but never all of them, which would overload a
+        log that is recovering.
         """
-        many = readers.READERS + readers.SPARE_READERS
+        many = readers.READERS_PER_ZONE + readers.SPARE_READERS
         self.assertEqual(count_readers(self.members, age=1e9), 3 * many)
 
     def test_streams_have_different_readers(self):
--- a/test/logservice/test_relay.py
+++ b/test/logservice/test_relay.py
@@ -1,4 +1,4 @@
-"""Relay and store of configuration records."""
+"""Tests of the relay and the store of configuration records."""
 
 import random
 import unittest
@@ -10,7 +10,7 @@
 
 
 class FakeConfiguration:
-    """Takes records in order; a snapshot ``s3`` covers all before offset 3."""
+    """Applies records in order; a snapshot ``s3`` covers all before offset 3."""
 
     def __init__(self):
         self.offset = 0
@@ -42,10 +42,10 @@
 class RelayTest(unittest.TestCase):
     @settings(derandomize=True)
     @given(st.lists(st.integers(0, 9), max_size=60))
-    def test_only_moves_forward_whatever_comes_in_which_order(self, offsets):
-        """Peers hand on late, doubled and old records.
+    def test_only_moves_forward_for_records_in_any_order(self, offsets):
+        """Guards against restoring a configuration that was replaced.
 
-        A configuration that was replaced must never come back.
+        Peers send late, duplicate and old records.
         """
         configuration = FakeConfiguration()
         records = build_records(*[b"x"] * 10)
@@ -65,7 +65,7 @@
         configuration.relay.confirm(2, 9.0, 10.0)
         self.assertEqual(configuration.relay.find_age(12.0), 5.0)
 
-    def test_gives_at_least_one_and_else_keeps_the_limit(self):
+    def test_gives_at_least_one_record_and_otherwise_respects_the_limit(self):
         configuration = FakeConfiguration()
         configuration.relay.take(build_records(b"a" * 50, b"b" * 30, b"c" * 30))
         given_records = configuration.relay.give(0, limit=40)
@@ -74,11 +74,12 @@
         self.assertEqual([r.offset for r in given_records], [1, 2])
         self.assertEqual(configuration.relay.give(3), ())
 
-    def test_peer_brings_a_newcomer_up_to_date_after_retention(self):
-        """The log has dropped the first records and is down.
+    def test_peer_brings_a_new_daemon_up_to_date_after_retention(self):
+        """Guards against a new daemon without a complete configuration.
 
-        A daemon that starts must get the configuration from a peer, from the
-        snapshot on, including what was written while the snapshot was.
+        The log has dropped the first records and is down. The daemon must get the
+        configuration from a peer: the snapshot and the records that it does not
+        cover.
         """
         records = build_records(b"a", b"b", b"c", b"s2", b"d")
         old = FakeConfiguration()
@@ -89,7 +90,7 @@
             for _ in range(3):
                 newcomer.relay.take(old.relay.give(newcomer.offset))
             self.assertEqual(newcomer.offset, 5)
-            # The next one gets it from this one.
+            # The next daemon gets the configuration from this one.
             old = newcomer
 
     def test_store_gives_nothing_after_a_gap(self):
@@ -101,14 +102,14 @@
 
     @settings(derandomize=True, max_examples=100)
     @given(st.integers(0, 2**32), st.integers(1, 40))
-    def test_exchanges_in_any_order_bring_all_to_the_newest(self, seed, limit):
+    def test_exchanges_in_any_order_bring_all_peers_up_to_date(self, seed, limit):
         source = random.Random(seed)
         records = build_records(*[b"x" * 8] * 20)
         peers = [FakeConfiguration() for _ in range(4)]
         peers[0].relay.take(records)
         for _ in range(400):
-            giver, taker = source.sample(peers, 2)
-            taker.relay.take(giver.relay.give(taker.offset, limit))
+            supplier, receiver = source.sample(peers, 2)
+            receiver.relay.take(supplier.relay.give(receiver.offset, limit))
         self.assertEqual({peer.offset for peer in peers}, {20})
 
 
--- a/test/logservice/test_snapshots.py
+++ b/test/logservice/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Tests for the task that writes snapshots, with the real configuration."""
+"""Tests of the task that writes snapshots, with the real configuration."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 
 class FakeStream:
-    """A stream that drops what is older than the retention."""
+    """A stream that drops records older than the retention."""
 
     def __init__(self):
         self.records = []
@@ -41,7 +41,7 @@
 
 
 class Daemon:
-    """A daemon that reads everything at once and writes snapshots."""
+    """A daemon that reads all new records immediately and writes snapshots."""
 
     def __init__(self, stream, seed):
         self.stream = stream
@@ -73,11 +73,12 @@
 
 
 class SnapshotsTest(unittest.TestCase):
-    def test_a_new_daemon_knows_what_retention_has_dropped(self):
-        """A resource is declared once; a daemon starts many hours later.
+    def test_a_new_daemon_has_resources_whose_changes_were_dropped(self):
+        """Guards against a new daemon that lacks old resources.
 
-        The log has dropped the change by then. Without a snapshot the new
-        daemon would not know which calls must never be repeated.
+        A resource is declared once, and a daemon starts many hours later, when the
+        log has dropped the change. Without a snapshot the daemon would not know
+        which calls must never be repeated.
         """
 
         async def main():
@@ -91,18 +92,18 @@
                 self.assertLess(stream.first, len(stream.records))
             for task in tasks:
                 task.cancel()
-            left = stream.records[stream.first :]
-            found = configuration.choose_snapshot(left, stream.first)
+            kept = stream.records[stream.first :]
+            snapshot = configuration.choose_snapshot(kept, stream.first)
             newcomer = Configuration()
-            self.assertTrue(newcomer.install(found))
+            self.assertTrue(newcomer.install(snapshot))
             self.assertIsNotNone(newcomer.get("Service", "s1"))
-            # Three writers, yet about one snapshot for each time one was due.
+            # Three writers write about one snapshot for each time one is due.
             self.assertLess(len(stream.records), 60)
 
         clocks.run_jumping(main())
 
     def test_an_outage_of_the_log_only_delays_a_snapshot(self):
-        """The log is down at the moment when a snapshot is due."""
+        """Guards against losing a snapshot that is due while the log is down."""
 
         async def main():
             stream = FakeStream()
--- a/test/logservice/test_sources.py
+++ b/test/logservice/test_sources.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the log for the others."""
+"""Tests of the selection of the daemons that read the log for the others."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 def choose(mesh, dead=()):
-    """Return the `Sources` of each daemon, where all others but some are up."""
+    """Return the `Sources` of each live daemon by address, with some daemons dead."""
     return {
         each.address: sources.Ranks(each.address, each.zone, mesh).choose(
             lambda address: address not in dead
@@ -34,18 +34,19 @@
             for address in readers:
                 self.assertEqual({address, *chosen[address].others}, set(readers))
             for address, each in chosen.items():
-                heard = {address, *each.wanted} & set(readers)
-                self.assertGreaterEqual(len(heard), 2)
+                reachable_readers = {address, *each.wanted} & set(readers)
+                self.assertGreaterEqual(len(reachable_readers), 2)
 
     def test_single_zone_has_two_readers(self):
         chosen = choose(build_mesh(1, 9))
         self.assertEqual(sum(each.is_reader for each in chosen.values()), 2)
 
     def test_one_relay_in_each_group(self):
-        """A single zone has two readers, so that one may fail.
+        """Guards against two relays of admission levels in one group.
 
-        Did both pass levels on, a zone would hear in turn of all of them and of one
-        daemon's only, and callers be let in and refused in turn.
+        A single zone has two readers, so that one may fail. If both relayed levels,
+        the zone would alternately receive those of all daemons and those of one
+        daemon only, and callers would alternately be admitted and refused.
         """
         for zones, size in ((1, 9), (3, 5), (1, 1)):
             chosen = choose(build_mesh(zones, size))
@@ -57,22 +58,24 @@
         self.assertTrue(choose(build_mesh(1, 1))["10.0.0.0:1"].is_reader)
 
     def test_reader_that_dies_is_replaced(self):
-        """The daemon that reads for a zone loses power.
+        """Guards against a zone without a reader after its reader loses power.
 
-        The next in rank sees by itself that it is out of reach and takes its place.
+        The next daemon in rank detects locally that the reader is unreachable and
+        replaces it.
         """
         mesh = build_mesh(3, 5)
         first = [a for a, each in choose(mesh).items() if each.is_reader]
         after = choose(mesh, dead=first)
         readers = [address for address, each in after.items() if each.is_reader]
         self.assertEqual(len(readers), 3)
-        # The one out of reach is tried again and again, and reads once it is back.
+        # The unreachable reader is retried, and reads again once it is back.
         self.assertTrue(all(set(first) & set(e.wanted) for e in after.values()))
 
-    def test_reader_visits_those_out_of_reach(self):
-        """A daemon starts anew while the log can't be read, and knows nobody.
+    def test_reader_contacts_unreachable_daemons(self):
+        """Guards against a restarted daemon staying without a configuration.
 
-        Nobody calls it, so it stays without a configuration unless it is found.
+        It restarts while the log can't be read and knows no peers, so a reader has
+        to contact it.
         """
         mesh = build_mesh(3, 5)
         readers = [a for a, each in choose(mesh).items() if each.is_reader]
@@ -80,12 +83,14 @@
         visited = {a for each in choose(mesh, lost).values() for a in each.wanted}
         self.assertLessEqual(set(lost), visited)
 
-    def test_all_others_of_the_zone_are_gone(self):
+    def test_all_other_daemons_of_the_zone_are_dead(self):
         mesh = build_mesh(2, 4)
         dead = [each.address for each in mesh[1:4]]
         chosen = choose(mesh, dead)["10.0.0.0:1"]
         self.assertTrue(chosen.is_reader)
-        self.assertLessEqual(len(chosen.wanted), 2 * (sources.MOST_TRIED + 1))
+        self.assertLessEqual(
+            len(chosen.wanted), 2 * (sources.MAX_UNREACHABLE_TRIED + 1)
+        )
 
 
 if __name__ == "__main__":
--- a/whinwinch/logservice/claimer.py
+++ b/whinwinch/logservice/claimer.py
@@ -1,12 +1,12 @@
-"""The task that writes one service's claims to the log and reads the verdicts.
+"""Task that writes one service's claims to the log and reads the verdicts.
 
-Load pattern: many keyed requests arrive together while the log takes several
-hundred appends a second for everybody. Each append therefore carries all
-claims that gathered while the one before was on its way.
+Load pattern: many keyed requests arrive together, while the log accepts several
+hundred appends a second from all daemons. Each append therefore carries all claims
+that were queued during the previous append.
 
 The task owns its state and runs on the event loop. It calls the blocking log
-client through a runner that is passed in. It answers LOG_DOWN promptly when
-the log does not answer, and never WON without having read the claim back.
+client through a runner that is passed in. It returns LOG_DOWN promptly when the log
+does not answer, and never WON without having read the claim back.
 """
 
 import asyncio
@@ -18,53 +18,57 @@
 from ..claims import Claim, ClaimVerdict, Done, Release, Verdict
 from . import streams
 
-# Entries of one append: some 75 kB, a page that the log carries in one message.
-BATCH = 500
+# Maximum number of entries in one append: about 75 kB, which the log carries in one
+# message.
+MAX_BATCH_ENTRIES = 500
 
-# Records of one read.
-PAGE = 200
+# Maximum number of records in one read.
+MAX_PAGE_RECORDS = 200
 
-# Records behind which a reader looks for the first one that still matters,
-# instead of reading them all: some ten reads of a page against as many of one.
-FAR_BEHIND = 10 * PAGE
+# Number of unread records above which a reader searches for the first relevant one
+# instead of reading all: about ten reads of one record replace at least ten reads
+# of a page.
+SEARCH_THRESHOLD = 10 * MAX_PAGE_RECORDS
 
-# Entries that may wait for the log. Beyond it new claims are refused; a queue
-# that grew through an outage would be stale when the log answers again.
-QUEUE = 5_000
+# Maximum number of queued entries. Beyond it new claims are refused; a queue that
+# grew during an outage would be stale when the log answers again.
+MAX_QUEUED_ENTRIES = 5_000
 
-# Attempts remembered so that a doubled message of one is not let run twice.
-ASKED = 100_000
+# Maximum number of remembered claims, by which duplicate messages of an attempt
+# are detected and not run twice.
+MAX_REMEMBERED_CLAIMS = 100_000
 
-# Seconds a claim waits for its verdict before its caller is told LOG_DOWN.
+# Seconds that a claim waits for its verdict before LOG_DOWN is returned.
 PATIENCE = 2.0
 
-# Seconds that one call to the log may take.
+# Timeout of one call to the log, in seconds.
 CALL_TIMEOUT = 1.0
 
-# Seconds for which a read waits at the log for a record that must come.
+# Seconds that the log may delay a read until an expected record is available.
 READ_WAIT = 0.25
 
-# Seconds between the starts of two appends of one task, at least; the first one
-# goes at once. It grows with the time that an append takes: the log takes
-# several hundred a second for everybody, and slows down before it fails.
-SPACING = 0.02
-LONGEST_SPACING = 8.0
-SPACING_PER_APPEND = 4.0
+# Minimum and maximum seconds between the starts of two appends of one task; the first
+# append starts immediately. The interval grows with the time that an append takes:
+# the log accepts several hundred appends a second from all daemons and slows down
+# before it fails.
+MIN_APPEND_INTERVAL = 0.02
+MAX_APPEND_INTERVAL = 8.0
+APPEND_INTERVAL_FACTOR = 4.0
 
-# Weight of the newest append in the smoothed time of an append.
-APPEND_WEIGHT = 0.25
+# Weight of the newest append in the moving average of the append time.
+APPEND_TIME_WEIGHT = 0.25
 
-# Seconds without a read after which the task reads on before it appends, so
-# that it notices dropped records before its own claim is on its way.
-IDLE = 30.0
+# Seconds without a read after which the task reads before it appends, so that it
+# detects dropped records before its claim is sent.
+MAX_READ_AGE = 30.0
 
-# Pauses after a failed call: doubled each time, within these limits.
-FIRST_PAUSE = 0.25
-LONGEST_PAUSE = 4.0
+# Bounds in seconds of the exponential backoff after failed calls.
+INITIAL_BACKOFF = 0.25
+MAX_BACKOFF = 4.0
 
 
 class Waiter(NamedTuple):
-    """A claim whose verdict somebody awaits.
+    """A claim whose verdict a caller awaits.
 
     Attributes:
         claim: The `Claim`.
@@ -76,23 +80,22 @@
 
 
 class Claimer:
-    """Claims for one service by one incarnation of a daemon.
+    """Writer of the claims for one service by one incarnation of a daemon.
 
-    All methods are called on the event loop's thread.
+    All methods must be called on the event loop's thread.
 
     Args:
-        client: Log client with `append` and `read`, and its `LogUnavailable`
-            error with attribute `written`.
+        client: Log client with `append` and `read`.
         service: Name of the service.
         incarnation: Identifier of this daemon, new at every start.
-        unavailable: The client's error class.
-        run: Function that runs a blocking function with arguments and can be
-            awaited.
-        state: The `claims.Claims` to fold into, or None for a new one.
-        patience: Seconds after which a claim is answered LOG_DOWN.
-        timeout: Seconds that one call to the log may take.
-        draw: Function that returns a float from 0 to 1, for the pauses.
-        note: Called with offset and data of each record read, for a trace.
+        unavailable: Error class of the client, like `client.LogUnavailable` with an
+            attribute `written`.
+        run: Awaitable function that runs a blocking function with its arguments.
+        state: The `claims.Claims` that applies the records, or None for a new one.
+        verdict_timeout: Seconds after which a claim gets LOG_DOWN.
+        timeout: Timeout of one call to the log, in seconds.
+        draw: Function that returns a random float from 0 to 1, for the backoff.
+        note: Trace hook, called with the offset and data of each record read.
     """
 
     def __init__(
@@ -103,7 +106,7 @@
         unavailable,
         run=asyncio.to_thread,
         state=None,
-        patience=PATIENCE,
+        verdict_timeout=PATIENCE,
         timeout=CALL_TIMEOUT,
         draw=random.random,
         note=None,
@@ -114,14 +117,14 @@
         self._unavailable = unavailable
         self._run = run
         self._state = claims.Claims() if state is None else state
-        self._patience = patience
+        self._verdict_timeout = verdict_timeout
         self._timeout = timeout
         self._draw = draw
-        self._note = note or (lambda offset, data: None)
+        self._trace_record = note or (lambda offset, data: None)
         self._queue = collections.deque()
         self._waiters = {}
         self._sent = set()
-        self._asked = {}
+        self._remembered = {}
         self._wake = asyncio.Event()
         self._idle = asyncio.Event()
         self._idle.set()
@@ -129,19 +132,19 @@
         self._append_time = 0.0
         self._last_read = float("-inf")
         self._down_until = float("-inf")
-        self._pause = FIRST_PAUSE
+        self._backoff = INITIAL_BACKOFF
 
     async def claim(self, key, attempt, deadline):
         """Claim a key for an attempt and wait for the verdict.
 
-        An answer other than WON is final: this attempt must never run. After
-        WON, check `claims.may_run` directly before sending, and call `release`
-        if it isn't sent.
+        A verdict other than WON is final: this attempt must never run. After WON,
+        check `claims.may_run` directly before sending the request, and call
+        `release` if it isn't sent.
 
         Args:
             key: The caller's idempotency key.
-            attempt: The attempt.
-            deadline: Event loop time after which no answer is wanted.
+            attempt: Identifier of the attempt.
+            deadline: Event loop time after which the verdict is no longer needed.
 
         Returns:
             A `ClaimVerdict`, never PENDING.
@@ -152,87 +155,90 @@
         if refusal:
             return refusal
         waiter = Waiter(claim, asyncio.get_running_loop().create_future())
-        self._asked[claim] = claims.get_key_time(claim.key)
+        self._remembered[claim] = claims.get_key_time(claim.key)
         self._waiters[claim] = waiter
         self._enqueue(claim)
         return await self._await_verdict(waiter, now, deadline)
 
     def release(self, key, attempt):
-        """Write that an attempt was never run and never will be.
+        """Queue the record that an attempt was not run and never will be.
 
         Args:
             key: The caller's idempotency key.
-            attempt: The attempt.
+            attempt: Identifier of the attempt.
         """
         self._enqueue(Release(claims.normalize_key(key), attempt, self._incarnation))
 
     def note_done(self, key, attempt, status):
-        """Write that the backend server has answered.
+        """Queue the record that the backend server has answered an attempt.
 
         Args:
             key: The caller's idempotency key.
-            attempt: The attempt.
+            attempt: Identifier of the attempt.
             status: HTTP status of the answer.
         """
         normal = claims.normalize_key(key)
         self._enqueue(Done(normal, attempt, self._incarnation, status))
 
     async def flush(self):
-        """Wait until nothing is left to write; for the stop of a daemon."""
+        """Wait until all queued entries are written, before a daemon stops."""
         await self._idle.wait()
 
     async def run(self):
-        """Append and read until cancelled."""
+        """Append queued entries and read verdicts until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
             while self._queue:
-                await self._wait_for_turn()
-                await self._take_turn()
+                await self._wait_for_append_time()
+                await self._process_batch()
             self._idle.set()
 
     def _refuse(self, claim, now, deadline):
         if not claim.key:
             return ClaimVerdict(Verdict.STALE)
-        # The second copy of a message would find that its attempt has won and
-        # run it again: the log cannot tell the copies apart, this process can.
-        if claim in self._asked:
+        # A duplicate message would find that its attempt has won and run it again.
+        # The log can't distinguish the copies, but this process can.
+        if claim in self._remembered:
             return ClaimVerdict(Verdict.LOST, winner=claim.attempt)
         if now >= deadline:
             return ClaimVerdict(Verdict.ABANDONED)
         if now < self._down_until:
             return self._describe_outage(now)
-        # Told now, the caller can come back in time; told after the wait, it has
-        # held a slot for nothing and its claim has to be released.
-        wait = self._find_start() - now
-        if now + wait + self._append_time >= min(deadline, now + self._patience):
+        # A caller that is refused now can retry in time. Refused after the wait, it
+        # would have occupied a slot in vain, and its claim would need a release.
+        wait = self._find_next_append_time() - now
+        if now + wait + self._append_time >= min(deadline, now + self._verdict_timeout):
             return ClaimVerdict(Verdict.LOG_DOWN, retry_after=wait)
-        self._forget_asked()
-        if len(self._queue) >= QUEUE or len(self._asked) >= ASKED:
-            return ClaimVerdict(Verdict.LOG_DOWN, retry_after=self._patience)
+        self._forget_old_claims()
+        if (
+            len(self._queue) >= MAX_QUEUED_ENTRIES
+            or len(self._remembered) >= MAX_REMEMBERED_CLAIMS
+        ):
+            return ClaimVerdict(Verdict.LOG_DOWN, retry_after=self._verdict_timeout)
         return None
 
     def _describe_outage(self, now):
-        wait = max(self._down_until - now, FIRST_PAUSE)
+        wait = max(self._down_until - now, INITIAL_BACKOFF)
         return ClaimVerdict(Verdict.LOG_DOWN, retry_after=wait)
 
-    def _forget_asked(self):
-        # Keys come in about the order of their making, so the old ones lead.
-        for claim in list(self._asked)[:2]:
-            if self._state.is_too_old(self._asked[claim]):
-                del self._asked[claim]
+    def _forget_old_claims(self):
+        # Keys arrive roughly in the order of their creation, so the oldest come first.
+        for claim in list(self._remembered)[:2]:
+            if self._state.is_too_old(self._remembered[claim]):
+                del self._remembered[claim]
 
     def _enqueue(self, entry):
-        # Releases and notes only spare callers a wait. Past the limit they are
-        # left out: the key then stays claimed until its window is over.
-        if type(entry) is not Claim and len(self._queue) >= 2 * QUEUE:
+        # Releases and done records only shorten the wait of callers. Beyond the limit
+        # they are dropped: the key then stays claimed until its window is over.
+        if type(entry) is not Claim and len(self._queue) >= 2 * MAX_QUEUED_ENTRIES:
             return
         self._queue.append(entry)
         self._idle.clear()
         self._wake.set()
 
     async def _await_verdict(self, waiter, now, deadline):
-        limit = min(deadline, now + self._patience)
+        limit = min(deadline, now + self._verdict_timeout)
         try:
             async with asyncio.timeout_at(limit):
                 verdict = await waiter.future
@@ -240,59 +246,59 @@
             self._abandon(waiter.claim)
             if limit == deadline:
                 return ClaimVerdict(Verdict.ABANDONED)
-            return ClaimVerdict(Verdict.LOG_DOWN, retry_after=self._patience)
+            return ClaimVerdict(Verdict.LOG_DOWN, retry_after=self._verdict_timeout)
         except asyncio.CancelledError:
-            # The verdict may have come in the same moment; nobody runs it now.
+            # The verdict may have arrived at the same moment; the work won't run.
             self._abandon(waiter.claim)
             raise
         self._sent.discard(waiter.claim)
         return verdict
 
     def _abandon(self, claim):
-        """Give up a claim, and release it where it may come into the log."""
+        """Give up a claim, and release it if it may have been written to the log."""
         self._waiters.pop(claim, None)
         if claim in self._sent:
             self._sent.discard(claim)
             self._enqueue(Release(*claim))
 
-    async def _wait_for_turn(self):
-        wait = self._find_start() - asyncio.get_running_loop().time()
+    async def _wait_for_append_time(self):
+        wait = self._find_next_append_time() - asyncio.get_running_loop().time()
         if wait > 0:
             await asyncio.sleep(wait)
 
-    def _find_start(self):
-        """Return when the next append may begin, at the earliest."""
-        spacing = max(SPACING, SPACING_PER_APPEND * self._append_time)
-        start = self._last_append + min(LONGEST_SPACING, spacing)
+    def _find_next_append_time(self):
+        """Return the earliest event loop time at which the next append may start."""
+        interval = max(MIN_APPEND_INTERVAL, APPEND_INTERVAL_FACTOR * self._append_time)
+        start = self._last_append + min(MAX_APPEND_INTERVAL, interval)
         return max(start, self._down_until)
 
-    async def _take_turn(self):
-        """Append one batch and read until its claims are decided."""
+    async def _process_batch(self):
+        """Append one batch and read until its claims have verdicts."""
         loop = asyncio.get_running_loop()
         try:
-            if loop.time() - self._last_read > IDLE:
+            if loop.time() - self._last_read > MAX_READ_AGE:
                 await self._read_to_end()
         except self._unavailable:
-            self._note_outage()
+            self._record_outage()
             self._refuse_waiters()
             return
-        batch = self._gather()
+        batch = self._collect_batch()
         if batch:
             await self._write(batch)
 
-    def _gather(self):
-        wanted = []
-        while self._queue and len(wanted) < BATCH:
+    def _collect_batch(self):
+        batch = []
+        while self._queue and len(batch) < MAX_BATCH_ENTRIES:
             entry = self._queue.popleft()
             if self._is_awaited(entry):
                 self._sent.add(entry)
-                wanted.append(entry)
+                batch.append(entry)
             elif type(entry) is not Claim:
-                wanted.append(entry)
-        return wanted
+                batch.append(entry)
+        return batch
 
     def _is_awaited(self, entry):
-        # A release equals the claim that it releases, being the same tuple.
+        # A release equals its claim: both are tuples with the same fields.
         return type(entry) is Claim and entry in self._waiters
 
     async def _write(self, batch):
@@ -306,24 +312,24 @@
                 self._timeout,
             )
         except self._unavailable as error:
-            await self._settle_lost(batch, error.written)
+            await self._resolve_lost_append(batch, error.written)
             return
-        took = asyncio.get_running_loop().time() - self._last_append
-        self._append_time += APPEND_WEIGHT * (took - self._append_time)
+        elapsed = asyncio.get_running_loop().time() - self._last_append
+        self._append_time += APPEND_TIME_WEIGHT * (elapsed - self._append_time)
         try:
             await self._read_past(offset, skips)
         except self._unavailable:
-            self._note_outage()
+            self._record_outage()
             self._refuse_waiters()
             return
-        self._note_answer()
-        self._settle(batch)
+        self._reset_backoff()
+        self._deliver_all(batch)
 
-    async def _settle_lost(self, batch, written):
-        """Find out by reading on what became of an append without an answer.
+    async def _resolve_lost_append(self, batch, written):
+        """Read on to determine the result of an append whose answer was lost.
 
-        What is not found is written again. The first append may still take
-        effect after that; a second copy of an entry changes nothing.
+        Entries that are not found are written again. The first append may still
+        take effect after that; a duplicate of an entry changes nothing.
         """
         if written is not False:
             try:
@@ -331,77 +337,77 @@
             except self._unavailable:
                 written = False
         if written is False:
-            self._note_outage()
+            self._record_outage()
             self._requeue(batch)
             self._refuse_waiters()
             return
-        self._tell_decided(batch)
+        self._deliver_decided(batch)
         self._requeue(batch)
 
     def _requeue(self, batch):
         self._queue.extendleft(reversed(batch))
 
-    def _settle(self, batch):
-        """Tell all verdicts; a claim that its own record didn't decide is stale."""
-        self._tell_decided(batch)
+    def _deliver_all(self, batch):
+        """Deliver all verdicts; a claim still pending after its record is stale."""
+        self._deliver_decided(batch)
         for entry in batch:
             if self._is_awaited(entry):
-                self._tell(entry, self._judge_left(entry))
+                self._deliver(entry, self._get_final_verdict(entry))
 
-    def _judge_left(self, claim):
+    def _get_final_verdict(self, claim):
         verdict = self._state.get_verdict(claim)
         if verdict.verdict is Verdict.PENDING:
             return ClaimVerdict(Verdict.STALE)
         return verdict
 
-    def _tell_decided(self, batch):
+    def _deliver_decided(self, batch):
         for entry in batch:
             if not self._is_awaited(entry):
                 continue
             verdict = self._state.get_verdict(entry)
             if verdict.verdict in (Verdict.WON, Verdict.LOST):
-                self._tell(entry, verdict)
+                self._deliver(entry, verdict)
 
-    def _tell(self, claim, verdict):
+    def _deliver(self, claim, verdict):
         waiter = self._waiters.pop(claim)
         if not waiter.future.done():
             waiter.future.set_result(verdict)
         if verdict.verdict not in (Verdict.WON, Verdict.LOST):
-            # Readers with a longer history see this claim hold its key. Nobody
-            # could ever run the work unless it is released.
+            # For readers with a longer history this claim owns its key. Unless it is
+            # released, no attempt could ever run the work.
             self._abandon(claim)
 
     def _refuse_waiters(self):
-        """Answer LOG_DOWN to all that wait, and release what may be written."""
+        """Deliver LOG_DOWN to all waiters, and release claims that may be written."""
         refusal = self._describe_outage(asyncio.get_running_loop().time())
         for waiter in tuple(self._waiters.values()):
             if not waiter.future.done():
                 waiter.future.set_result(refusal)
             self._abandon(waiter.claim)
 
-    def _note_outage(self):
+    def _record_outage(self):
         now = asyncio.get_running_loop().time()
-        # Half of the pause is drawn: daemons that lost the log together would
-        # otherwise all come back to it in the same moment.
-        self._down_until = now + self._pause * (0.5 + 0.5 * self._draw())
-        self._pause = min(LONGEST_PAUSE, 2 * self._pause)
+        # Half of the backoff is random: daemons that lost the log together would
+        # otherwise all retry at the same moment.
+        self._down_until = now + self._backoff * (0.5 + 0.5 * self._draw())
+        self._backoff = min(MAX_BACKOFF, 2 * self._backoff)
 
-    def _note_answer(self):
-        self._pause = FIRST_PAUSE
+    def _reset_backoff(self):
+        self._backoff = INITIAL_BACKOFF
         self._down_until = float("-inf")
 
     async def _read_to_end(self):
         end = (await self._read_page()).next
-        if end - self._state.next > FAR_BEHIND:
+        if end - self._state.next > SEARCH_THRESHOLD:
             await self._skip_old_records(end)
         while self._state.next < end:
             await self._read_page()
 
     async def _skip_old_records(self, end):
-        """Go on at the last record that is older than any key can be.
+        """Skip to the last record that is older than any valid key.
 
-        A new gatekeeper of a busy service would otherwise read all that the
-        log keeps, and refuse its callers meanwhile.
+        A new gatekeeper of a busy service would otherwise read the whole stream,
+        and refuse its callers meanwhile.
         """
         newest = await self._read_time(end - 1)
         if newest is None:
@@ -409,7 +415,7 @@
         cutoff = self._state.get_cutoff_time(newest)
         low = self._state.next
         high = end - 1
-        while high - low > PAGE:
+        while high - low > MAX_PAGE_RECORDS:
             middle = (low + high) // 2
             time = await self._read_time(middle)
             if time is not None and time >= cutoff:
@@ -421,7 +427,7 @@
             self._state.skip_to(low)
 
     async def _read_time(self, offset):
-        """Return the time of one record, or None when it is gone."""
+        """Return the time of one record, or None if the log has dropped it."""
         page = await self._run(
             self._client.read, self._stream, offset, 1, 0.0, self._timeout
         )
@@ -441,7 +447,7 @@
             self._client.read,
             self._stream,
             self._state.next,
-            PAGE,
+            MAX_PAGE_RECORDS,
             wait,
             self._timeout,
         )
@@ -449,5 +455,5 @@
         self._state.skip_to(page.first)
         for record in page.records:
             self._state.apply(record.offset, record.time, record.data)
-            self._note(record.offset, record.data)
+            self._trace_record(record.offset, record.data)
         return page
--- a/whinwinch/logservice/client.py
+++ b/whinwinch/logservice/client.py
@@ -1,9 +1,9 @@
 """Blocking client of the platform's append-only log.
 
-The client never tries an append twice by itself. An append may take effect
-although its answer is lost; a hidden second try would then put the record
-into the stream twice. The error says instead what is known, and whoever
-appended decides, usually by reading on.
+The client never retries an append. An append may take effect although its answer is
+lost; an internal retry would then add the record to the stream twice. Instead the
+error states whether the record may have been written, and the caller determines the
+result, usually by reading on.
 """
 
 import base64
@@ -19,20 +19,20 @@
 DEFAULT_TIMEOUT = 2.0
 DEFAULT_LIMIT = 500
 
-STATUS_READ = 200
-STATUS_APPENDED = 201
+STATUS_OK = 200
+STATUS_CREATED = 201
 FIRST_CLIENT_ERROR = 400
 FIRST_SERVER_ERROR = 500
-STATUS_DOWN = 503
+STATUS_SERVICE_UNAVAILABLE = 503
 
 
 class Record(NamedTuple):
     """One record of a stream.
 
     Attributes:
-        offset: Place in the stream, given by the log.
-        time: When the log took it, in seconds of the log's own clock.
-        data: What was appended.
+        offset: Position in the stream, assigned by the log.
+        time: Time of the append, in seconds of the log's clock.
+        data: The appended bytes.
     """
 
     offset: int
@@ -41,12 +41,12 @@
 
 
 class Page(NamedTuple):
-    """Records read from a stream, with what the log says of the stream.
+    """Records read from a stream, with the bounds of the stream.
 
     Attributes:
         records: Records in the order of their offsets.
         first: Lowest offset that the log still keeps.
-        next: Offset that the next record appended will get.
+        next: Offset of the next record to be appended.
     """
 
     records: tuple[Record, ...]
@@ -55,11 +55,11 @@
 
 
 class LogUnavailable(errors.UserError):
-    """The log did not do what it was asked.
+    """A call to the log that failed or whose answer can't be parsed.
 
     Attributes:
-        written: False when the record is surely not in the stream, None when
-            that isn't known. Reads always have False.
+        written: False if the record is certainly not in the stream, None if that
+            is unknown. Always False for reads.
     """
 
     def __init__(self, problem, written):
@@ -68,11 +68,12 @@
 
 
 class LogClient:
-    """Connections to the log; safe to use from several threads.
+    """Client of the log with a connection pool; thread-safe.
 
     Args:
-        url: Where the log is, for example ``http://10.0.0.9:7000``.
-        pool_size: Connections kept open. A long poll holds one all the time.
+        url: URL of the log, for example ``http://10.0.0.9:7000``.
+        pool_size: Number of pooled connections. A long poll occupies one for its
+            whole duration.
     """
 
     def __init__(self, url, pool_size=DEFAULT_POOL_SIZE):
@@ -86,21 +87,21 @@
         Args:
             stream: Name of the stream.
             data: The record's bytes.
-            timeout: Seconds for the whole exchange.
+            timeout: Timeout of the whole exchange, in seconds.
 
         Returns:
-            The offset that the log gave the record.
+            The offset that the log assigned to the record.
 
         Raises:
-            LogUnavailable: When the record isn't known to be written.
+            LogUnavailable: If there is no confirmation that the record was written.
         """
         answer = self._exchange("POST", f"/streams/{stream}", timeout, body=data)
-        if answer.status != STATUS_APPENDED:
-            raise _refused(answer.status)
+        if answer.status != STATUS_CREATED:
+            raise _build_append_error(answer.status)
         try:
             return int(json.loads(answer.data)["offset"])
         except (ValueError, KeyError, TypeError) as error:
-            raise LogUnavailable(f"unreadable answer: {error!r}", None) from error
+            raise LogUnavailable(f"invalid answer: {error!r}", None) from error
 
     def read(
         self, stream, offset, limit=DEFAULT_LIMIT, wait=0.0, timeout=DEFAULT_TIMEOUT
@@ -109,18 +110,17 @@
 
         Args:
             stream: Name of the stream.
-            offset: Lowest offset wanted.
-            limit: Most records wanted.
-            wait: Seconds that the log may hold the answer until there is a
-                record.
-            timeout: Seconds for the exchange beyond `wait`.
+            offset: Lowest offset to return.
+            limit: Maximum number of records.
+            wait: Seconds that the log may delay the answer until there is a record.
+            timeout: Seconds that the exchange may take in addition to `wait`.
 
         Returns:
-            A `Page`. Its `first` is above `offset` when retention has dropped
-            records that were asked for.
+            A `Page`. Its `first` is above `offset` if retention has dropped some of
+            the requested records.
 
         Raises:
-            LogUnavailable: When there is no readable answer.
+            LogUnavailable: If the log doesn't return a valid answer.
         """
         fields = {"offset": str(offset), "limit": str(limit), "wait": str(wait)}
         try:
@@ -130,12 +130,12 @@
         except LogUnavailable as error:
             error.written = False
             raise
-        if answer.status != STATUS_READ:
-            raise LogUnavailable(f"status {answer.status}", False)
+        if answer.status != STATUS_OK:
+            raise LogUnavailable(f"unexpected status {answer.status}", False)
         return _parse_page(answer.data)
 
     def close(self):
-        """Close the connections that nobody uses at the moment."""
+        """Close the idle connections."""
         self._pool.close()
 
     def _exchange(self, method, path, timeout, **arguments):
@@ -149,18 +149,18 @@
         ) as error:
             raise LogUnavailable(f"no connection: {error}", False) from error
         except urllib3.exceptions.HTTPError as error:
-            # The connection broke or fell silent after the request may have
-            # left. The log may have taken the record: a writer that believed
-            # otherwise would append it twice, so nothing is claimed here.
+            # The connection broke or timed out after the request may have been
+            # sent. The log may have written the record; a writer that assumed
+            # otherwise would append it twice, so the result is unknown.
             raise LogUnavailable(f"no answer: {error}", None) from error
 
 
-def _refused(status):
-    # Only 503 and the client errors promise that nothing was written. Another
-    # server error may have come after the write, and a proxy's 200 says nothing.
+def _build_append_error(status):
+    # Only 503 and the client errors guarantee that nothing was written. Another
+    # server error may have occurred after the write, and a proxy's 200 proves nothing.
     client_error = FIRST_CLIENT_ERROR <= status < FIRST_SERVER_ERROR
-    surely_not = status == STATUS_DOWN or client_error
-    return LogUnavailable(f"status {status}", False if surely_not else None)
+    not_written = status == STATUS_SERVICE_UNAVAILABLE or client_error
+    return LogUnavailable(f"unexpected status {status}", False if not_written else None)
 
 
 def _parse_page(body):
@@ -169,7 +169,7 @@
         records = tuple(_parse_record(record) for record in fields["records"])
         return Page(records, int(fields["first"]), int(fields["next"]))
     except (ValueError, KeyError, TypeError, binascii.Error) as error:
-        raise LogUnavailable(f"unreadable answer: {error!r}", False) from error
+        raise LogUnavailable(f"invalid answer: {error!r}", False) from error
 
 
 def _parse_record(fields):
--- a/whinwinch/logservice/follower.py
+++ b/whinwinch/logservice/follower.py
@@ -1,4 +1,4 @@
-"""Task that reads the configuration from the log, when it is its turn."""
+"""Task that reads the configuration from the log while this daemon is a reader."""
 
 import asyncio
 import random as random_module
@@ -7,20 +7,20 @@
 
 from . import client
 
-# Seconds that the log holds a read until there is a record. Shorter than what
-# counts as quiet in `readers`, so that one lost poll worries nobody.
+# Seconds that the log may delay a read until there is a record. Shorter than
+# `readers.MAX_CONFIRMED_AGE`, so that one lost poll activates no spare readers.
 POLL_WAIT = 5.0
 POLL_LIMIT = 500
-# Seconds between two looks at whether it is this daemon's turn.
-TURN_INTERVAL = 2.0
-# Bounds of the back-off while the log can't be read. The upper bound is how
-# late a change is noticed after an outage, and has to leave time to hand on.
-SHORTEST_BACKOFF = 0.5
-LONGEST_BACKOFF = 4.0
+# Average seconds between two checks of whether this daemon has become a reader.
+READER_CHECK_INTERVAL = 2.0
+# Bounds in seconds of the backoff while the log can't be read. The upper bound delays
+# the first change after an outage, which then still has to reach the peers in time.
+MIN_BACKOFF = 0.5
+MAX_BACKOFF = 4.0
 
 
 async def run_follower(read, relay, is_reader, wake, random=random_module):
-    """Read configuration records from the log and give them to the relay.
+    """Read configuration records from the log and apply them through the relay.
 
     Runs until cancelled.
 
@@ -28,8 +28,8 @@
         read: Awaitable function of offset, limit and wait (seconds); returns a
             `client.Page` or raises `client.LogUnavailable`.
         relay: The `relay.Relay`.
-        is_reader: Function of the time; tells whether it is this daemon's turn.
-        wake: `asyncio.Event` to set when there is something new to hand on.
+        is_reader: Function from the loop's time to whether this daemon is a reader.
+        wake: `asyncio.Event` that is set when there are new records for peers.
         random: Source of jitter.
     """
     loop = asyncio.get_running_loop()
@@ -38,7 +38,7 @@
     while True:
         if not is_reader(loop.time()):
             cursor = relay.offset
-            await asyncio.sleep(TURN_INTERVAL * random.uniform(0.5, 1.5))
+            await asyncio.sleep(READER_CHECK_INTERVAL * random.uniform(0.5, 1.5))
             continue
         cursor = max(cursor, relay.offset)
         try:
@@ -46,53 +46,60 @@
         except client.LogUnavailable as error:
             failures += 1
             if failures == 1:
-                logging.warning("configuration can't be read: %s", error)
-            await asyncio.sleep(find_backoff(failures, random))
+                logging.warning("failed to read the configuration stream: %s", error)
+            await asyncio.sleep(draw_backoff(failures, random))
             continue
         if failures:
-            logging.info("configuration is read again, from offset %d", cursor)
+            logging.info(
+                "resumed reading the configuration stream at offset %d", cursor
+            )
         failures = 0
         before = relay.offset
-        cursor = take_page(page, cursor, relay, loop.time())
+        cursor = apply_page(page, cursor, relay, loop.time())
         if relay.offset > before:
             wake.set()
 
 
-def take_page(page, cursor, relay, now):
-    """Give a page to the relay.
+def apply_page(page, cursor, relay, now):
+    """Apply a page of records through the relay.
 
     Args:
         page: The `client.Page`.
-        cursor: Offset that was read from.
+        cursor: Offset at which the page was read.
         relay: The `relay.Relay`.
         now: Time in seconds.
 
     Returns:
         The offset to read from next. After a gap, because the log has dropped
-        records, the relay takes nothing until a snapshot comes by; reading
-        goes on beyond what it wants, and returns to it after the snapshot.
+        records, the relay applies nothing until there is a snapshot. Reading
+        continues beyond the relay's offset until then, and returns to it after the
+        snapshot.
     """
     before = relay.offset
-    taken = relay.take(page.records)
+    applied = relay.take(page.records)
     if page.first > before and page.first > cursor:
         logging.warning(
             "the log has dropped configuration records %d to %d; "
-            "looking for a snapshot",
+            "searching for a snapshot",
             before,
             page.first - 1,
         )
     relay.confirm(page.next, 0.0, now)
-    if taken:
+    if applied:
         return relay.offset
     if page.records:
         return page.records[-1].offset + 1
     return max(cursor, page.first)
 
 
-def find_backoff(failures, random):
-    """Return the seconds to wait after so many failures in a row, jittered.
+def draw_backoff(failures, random):
+    """Return the backoff in seconds after a number of consecutive failures.
 
-    Without jitter all readers would come back to the log at the same moment.
+    Without its jitter all readers would retry at the same moment.
+
+    Args:
+        failures: Number of consecutive failures.
+        random: Source of jitter.
     """
-    longest = min(LONGEST_BACKOFF, SHORTEST_BACKOFF * 2 ** min(failures, 10))
-    return random.uniform(longest / 2, longest)
+    max_backoff = min(MAX_BACKOFF, MIN_BACKOFF * 2 ** min(failures, 10))
+    return random.uniform(max_backoff / 2, max_backoff)
--- a/whinwinch/logservice/joining.py
+++ b/whinwinch/logservice/joining.py
@@ -1,4 +1,4 @@
-"""Task that finds the first peers through the log and tells of this daemon."""
+"""Task that discovers peers through the log and announces this daemon there."""
 
 import asyncio
 import random as random_module
@@ -8,23 +8,24 @@
 from .. import joins
 from . import client
 
-# Seconds over which daemons that start together spread their first read.
+# Maximum seconds before the first read, to spread daemons that start together.
 START_SPREAD = 3.0
-# Seconds over which they spread the look at whether their joins are needed.
-SETTLE_SPREAD = 10.0
-# How often a join is put off while the stream has many recent ones. Then it is
-# written anyway: the stream must not go on naming a burst of long ago only.
-POSTPONEMENTS = 3
-# Seconds that gossip gets to reach one of the contacts.
-CONTACT_TIME = 5.0
-# Bounds of the back-off while the log can't be used. The upper bound is how
-# long a daemon may stay alone after an outage.
-SHORTEST_BACKOFF = 0.5
-LONGEST_BACKOFF = 10.0
+# Maximum seconds before the check whether the daemon's join record is needed.
+CHECK_SPREAD = 10.0
+# Maximum number of times that a join is postponed while the stream has many recent
+# ones. It is written afterwards anyway: the stream must not keep listing only the
+# daemons of an old burst.
+MAX_POSTPONEMENTS = 3
+# Seconds that gossip has to reach one of the listed daemons.
+CONTACT_TIMEOUT = 5.0
+# Bounds in seconds of the backoff while the log is unavailable. The upper bound limits
+# how long a daemon may stay without peers after an outage.
+MIN_BACKOFF = 0.5
+MAX_BACKOFF = 10.0
 
 
 async def run_joining(read, append, members, random=random_module):
-    """Join the mesh through the log and keep the stream of use to others.
+    """Join the mesh through the log and keep enough records in the stream for others.
 
     Runs until cancelled.
 
@@ -32,26 +33,26 @@
         read: Awaitable function of offset, limit and wait (seconds) on the
             stream of members; returns a `client.Page` or raises
             `client.LogUnavailable`.
-        append: Awaitable function of the bytes of a record for that stream;
-            may raise `client.LogUnavailable`.
-        members: The `membership.Membership`, of which gossip has charge.
+        append: Awaitable function that appends the bytes of a record to that
+            stream; may raise `client.LogUnavailable`.
+        members: The `membership.Membership`, which gossip updates.
         random: Source of jitter.
     """
     loop = asyncio.get_running_loop()
     await asyncio.sleep(random.uniform(0.0, START_SPREAD))
     await _find_peers(read, append, members, random)
     await _postpone(read, random)
-    await _append_patiently(append, members, members.count_joins(loop.time()), random)
+    await _append_join_slowly(append, members, members.count_joins(loop.time()), random)
     while True:
         await asyncio.sleep(joins.find_read_interval(len(members), random))
         await _refresh(read, append, members, random)
 
 
 async def append_leave(append, members, now):
-    """Tell the log that this daemon leaves, unless it has better to do.
+    """Append the record that this daemon leaves, unless many have recently joined.
 
     Args:
-        append: As for `run_joining`.
+        append: As in `run_joining`.
         members: The `membership.Membership`.
         now: Time in seconds.
     """
@@ -61,17 +62,17 @@
     try:
         await append(joins.encode_record(record))
     except client.LogUnavailable as error:
-        logging.info("leave not written: %s", error)
+        logging.info("failed to append the leave record: %s", error)
 
 
 async def _postpone(read, random):
-    """Wait while other daemons have lately written joins enough.
+    """Wait while other daemons have recently written enough joins.
 
-    A zone that restarts would otherwise write all of its joins in the seconds
-    in which they reach the mesh, before they know of one another.
+    The daemons of a restarting zone would otherwise all write their joins within
+    the seconds before they discover one another.
     """
-    await asyncio.sleep(random.uniform(0.0, SETTLE_SPREAD))
-    for _ in range(POSTPONEMENTS):
+    await asyncio.sleep(random.uniform(0.0, CHECK_SPREAD))
+    for _ in range(MAX_POSTPONEMENTS):
         try:
             page = await _read_end(read)
         except client.LogUnavailable:
@@ -81,27 +82,27 @@
         await asyncio.sleep(random.uniform(0.0, joins.RECENT_WINDOW))
 
 
-async def _append_patiently(append, members, recent, random):
-    """Append this daemon's join, which belongs to the mesh already.
+async def _append_join_slowly(append, members, recent, random):
+    """Append the join of this daemon, which already belongs to the mesh.
 
-    It isn't urgent. Hundreds that waited for the log together would otherwise
-    all write in the seconds after an outage.
+    The join isn't urgent, so it is retried after long delays. Hundreds of daemons
+    would otherwise all write in the seconds after an outage of the log.
     """
     while True:
         try:
             await append(joins.encode_record(joins.build_join(members, random)))
             return
         except client.LogUnavailable as error:
-            logging.info("join not written yet: %s", error)
+            logging.info("failed to append the join record, retrying later: %s", error)
         delay = joins.find_append_delay(recent, random)
-        await asyncio.sleep(delay + random.uniform(0.5, 1.0) * LONGEST_BACKOFF)
+        await asyncio.sleep(delay + random.uniform(0.5, 1.0) * MAX_BACKOFF)
 
 
 async def _refresh(read, append, members, random):
-    """Read the stream's end once, and add a record when there are too few.
+    """Read the end of the stream once, and append a join if there are too few.
 
-    A failure is left to the next time: thousands of daemons that tried again
-    at once would keep a log busy that is just coming back.
+    A failure is not retried before the next interval: immediate retries of thousands
+    of daemons would overload a log that is just recovering.
     """
     try:
         page = await _read_end(read)
@@ -109,15 +110,15 @@
         if len(page.records) < joins.MIN_RECORDS:
             await append(joins.encode_record(joins.build_join(members, random)))
     except client.LogUnavailable as error:
-        logging.info("stream of members not refreshed: %s", error)
+        logging.info("failed to refresh the stream of members: %s", error)
 
 
 async def _find_peers(read, append, members, random):
-    """Return, once another daemon is known, how many joins there were lately.
+    """Wait until another daemon is known; return the number of recent joins.
 
-    Before it appends, a daemon reads once more. When a whole mesh starts at
-    once, the first few are then found by all others, who need not append
-    before they belong to the mesh.
+    The daemon reads once more before it appends. When a whole mesh starts at once,
+    all others then discover the first few daemons, and need not append before they
+    belong to the mesh.
     """
     while True:
         page = await _read_tail(read, members, random)
@@ -137,18 +138,18 @@
 
 async def _wait_for_peer(members):
     loop = asyncio.get_running_loop()
-    end = loop.time() + CONTACT_TIME
-    while len(members) == 1 and loop.time() < end:
+    deadline = loop.time() + CONTACT_TIMEOUT
+    while len(members) == 1 and loop.time() < deadline:
         await asyncio.sleep(members.settings.probe_interval / 4)
 
 
 async def _read_tail(read, members, random):
-    """Return the end of the stream, however long the log takes to answer."""
+    """Return the page at the end of the stream, retrying until the log answers."""
 
     async def read_end():
         return await _read_end(read)
 
-    return await _repeat(read_end, "peers can't be looked up", members, random)
+    return await _retry(read_end, "failed to read the list of peers", members, random)
 
 
 async def _read_end(read):
@@ -158,18 +159,18 @@
 
 
 async def _append_join(append, members, random):
-    """Append this daemon's join, however long the log takes to answer.
+    """Append this daemon's join, retrying until the log answers.
 
-    A lost answer may leave the record twice; both say the same.
+    After a lost answer the record may be written twice, which is harmless.
     """
 
     async def append_once():
         await append(joins.encode_record(joins.build_join(members, random)))
 
-    await _repeat(append_once, "join can't be written", members, random)
+    await _retry(append_once, "failed to append the join record", members, random)
 
 
-async def _repeat(action, problem, members, random):
+async def _retry(action, problem, members, random):
     failures = 0
     while True:
         try:
@@ -178,7 +179,7 @@
             failures += 1
             if failures == 1:
                 logging.warning(
-                    "%s, trying on (%d members known): %s", problem, len(members), error
+                    "%s, retrying (%d members known): %s", problem, len(members), error
                 )
-        longest = min(LONGEST_BACKOFF, SHORTEST_BACKOFF * 2 ** min(failures, 10))
-        await asyncio.sleep(random.uniform(longest / 2, longest))
+        max_backoff = min(MAX_BACKOFF, MIN_BACKOFF * 2 ** min(failures, 10))
+        await asyncio.sleep(random.uniform(max_backoff / 2, max_backoff))
--- a/whinwinch/logservice/keyed.py
+++ b/whinwinch/logservice/keyed.py
@@ -1,32 +1,32 @@
-"""Copy of a keyed topic of the log, which any daemon can hand on.
+"""Local copy of a keyed topic of the log, which any daemon can replicate to peers.
 
-Load pattern: hundreds of daemons want every change within two seconds, and the log
-is to be read by a few of them only. So whoever has a newer copy hands on what is
-behind the offset of the other. Copies move forward only: late, doubled or older
-messages change nothing, from whomever they come.
+Load pattern: hundreds of daemons need every change within two seconds, but only a
+few of them may read the log. A daemon with a newer copy therefore sends its peers
+the records from their offset on. Copies only move forward: late, duplicate or older
+messages change nothing, whichever peer sends them.
 
-What could go wrong is a reader whose calls to the log hang: it would answer as an
-older configuration says for as long as the read is out. It takes what peers tell
-like everyone else, and a daemon whose peers tell nothing reads by itself.
+A reader whose calls to the log hang would act on an outdated configuration for the
+duration of the read. It therefore applies what peers report like every other
+daemon, and a daemon whose peers report nothing reads the log itself.
 """
 
 import math
 from typing import NamedTuple
 
-# Until a peer that was asked for records is given up and another one asked.
-ASK_SECONDS = 0.3
-# Keys that have gone and are still handed on. Daemons are replaced every day, and
-# their addresses would pile up for weeks.
-MOST_DROPPED = 1000
+# Seconds to wait for requested records before another peer is asked for them.
+REQUEST_TIMEOUT = 0.3
+# Maximum number of deleted keys that are kept to be sent to peers. Daemons are
+# replaced every day, and their addresses would otherwise accumulate for weeks.
+MAX_DELETED_KEYS = 1000
 
 
 class Record(NamedTuple):
     """A record of a keyed topic.
 
     Attributes:
-        key: Its key.
-        value: Its value; b"" drops the key.
-        offset: Its place in the topic.
+        key: Key of the record.
+        value: Value of the key; b"" deletes the key.
+        offset: Offset of the record in the topic.
     """
 
     key: str
@@ -35,46 +35,50 @@
 
 
 class Copy:
-    """The newest record of each key, as far as this daemon knows.
+    """The newest record of each key that has reached this daemon.
 
     Args:
-        apply: Function that is given the `Record` tuples that are new, in the order
-            of their offsets; a key that has gone comes with an empty value.
+        apply: Function called with the new `Record` tuples in the order of their
+            offsets; a deleted key has an empty value.
 
     Attributes:
-        end: Offset behind the last record known.
-        is_known: Whether the topic was ever read to its end.
+        end: Offset after the last record of the copy.
+        is_known: Whether the copy has ever covered the topic up to its end.
     """
 
     def __init__(self, apply):
         self._apply = apply
         self._records = {}
-        # Keys that had gone before this offset are forgotten.
-        self._floor = 0
+        # Keys deleted before this offset are no longer stored.
+        self._deletions_floor = 0
         self.end = 0
         self.is_known = False
 
     def take(self, records, start, end):
-        """Take the records from an offset to an end.
+        """Apply the records from a start offset to an end offset.
 
         Args:
             records: `Record` tuples, at least the newest of each key.
-            start: Offset from which on none is missing.
-            end: Offset behind the last of them.
+            start: Offset from which on no record is missing.
+            end: Offset after the last of the records.
 
         Returns:
             Whether the copy now reaches the end. Records that would leave a gap are
-            not taken.
+            not applied.
         """
         if start > self.end:
             return False
-        self._take_newer(records, end)
+        self._apply_newer(records, end)
         return True
 
     def take_newest(self, records, end):
-        """Take the newest record of each key, read up to an end.
+        """Apply a listing of the newest record of each key.
 
         A listing that is older than the copy changes nothing.
+
+        Args:
+            records: `Record` tuples, one for each existing key.
+            end: Offset up to which the topic was read for the listing.
         """
         if self.is_known and end < self.end:
             return
@@ -84,19 +88,25 @@
             for key, record in self._records.items()
             if key not in listed and record.value
         ]
-        self._take_newer([*records, *dropped], end)
+        self._apply_newer([*records, *dropped], end)
 
     def give(self, start):
-        """Return the records that bring a copy up to date that ends at an offset.
+        """Return the records that bring another copy up to date.
+
+        Args:
+            start: Offset at which the other copy ends.
 
-        None where a key that has gone since may be forgotten here.
+        Returns:
+            `Record` tuples in the order of their offsets. None if this copy was
+            never complete or may no longer store a key that was deleted after
+            `start`.
         """
-        if not self.is_known or 0 < start < self._floor:
+        if not self.is_known or 0 < start < self._deletions_floor:
             return None
         newer = [r for r in self._records.values() if r.offset >= start]
         return tuple(sorted(newer, key=_get_offset))
 
-    def _take_newer(self, records, end):
+    def _apply_newer(self, records, end):
         newest = {}
         for record in sorted(records, key=_get_offset):
             if record.offset >= self.end:
@@ -104,47 +114,52 @@
                 newest[record.key] = record
         changed = tuple(r for r in newest.values() if self._records.get(r.key) != r)
         self._records.update((record.key, record) for record in changed)
-        self._forget_dropped()
+        self._discard_deleted()
         self.end = max(self.end, end)
         is_first = not self.is_known
         self.is_known = True
         if changed or is_first:
             self._apply(changed)
 
-    def _forget_dropped(self):
+    def _discard_deleted(self):
         dropped = [record for record in self._records.values() if not record.value]
-        if len(dropped) <= MOST_DROPPED:
+        if len(dropped) <= MAX_DELETED_KEYS:
             return
         dropped.sort(key=_get_offset)
-        for record in dropped[: MOST_DROPPED // 2]:
+        for record in dropped[: MAX_DELETED_KEYS // 2]:
             del self._records[record.key]
-            self._floor = record.offset + 1
+            self._deletions_floor = record.offset + 1
 
 
 class Following:
-    """What is known of how new a copy is, and whether to read the log.
+    """Freshness of a copy, and the decision whether to read the log for it.
 
     Args:
-        copy: `Copy`.
-        patience: Seconds after which a copy that nobody has confirmed is read from
-            the log by whoever holds it.
+        copy: `Copy` of the topic.
+        patience: Seconds without a confirmation that the copy is current after
+            which the daemon reads the log itself.
     """
 
     def __init__(self, copy, patience):
         self.copy = copy
-        self._patience = patience
+        self._max_unconfirmed = patience
         self._confirmed = -math.inf
-        # The farthest end that peers told of, and when they did last.
-        self._told_end = 0
-        self._told_time = -math.inf
-        self._asked = -math.inf
+        # The highest end that peers have reported, and when it was last reported.
+        self._reported_end = 0
+        self._reported_time = -math.inf
+        self._requested = -math.inf
 
     def note_read(self, end, now):
-        """Note that the log was read up to an end.
+        """Record that the log was read up to an end.
+
+        Args:
+            end: Offset after the last record that was read.
+            now: Time of the loop's clock in seconds.
 
         Returns:
-            Whether that confirms the copy. A read that hung while peers told of more,
-            or a log that answers with what it held before, confirms nothing.
+            Whether that confirms the copy. A read that hung while peers reported
+            a higher end, or a log that answers with outdated data, confirms
+            nothing.
         """
         if end < self.copy.end:
             return False
@@ -152,49 +167,53 @@
         return True
 
     def take_end(self, end, now):
-        """Take the end of the topic, as a peer has just read it from the log.
+        """Apply the end of the topic that a peer has just read from the log.
+
+        Args:
+            end: Offset after the topic's last record.
+            now: Time of the loop's clock in seconds.
 
         Returns:
-            Whether to ask that peer for what is missing.
+            Whether to request the missing records from that peer.
         """
         if self.copy.is_known and end <= self.copy.end:
             self.note_read(end, now)
             return False
-        if end >= self._told_end:
-            self._told_end, self._told_time = end, now
-        if now - self._asked < ASK_SECONDS:
+        if end >= self._reported_end:
+            self._reported_end, self._reported_time = end, now
+        if now - self._requested < REQUEST_TIMEOUT:
             return False
-        self._asked = now
+        self._requested = now
         return True
 
     def ask_all(self, now):
-        """Return whether to ask a peer that has come for the whole topic.
+        """Return whether to request the whole topic from a newly connected peer.
 
-        Peers come by the hundred where all start together: asked by each newcomer,
-        each would send all of it.
+        Hundreds of peers connect where all daemons start together. If the topic
+        were requested from each of them, each would send all of it.
         """
-        if self.copy.is_known or now - self._asked < ASK_SECONDS:
+        if self.copy.is_known or now - self._requested < REQUEST_TIMEOUT:
             return False
-        self._asked = now
+        self._requested = now
         return True
 
     def take_records(self, records, start, end):
-        """Take what a peer has sent."""
+        """Apply the records that a peer has sent, as in `Copy.take`."""
         if self.copy.take(records, start, end):
-            self._asked = -math.inf
-            if self.copy.end >= self._told_end:
-                self._confirmed = max(self._confirmed, self._told_time)
+            self._requested = -math.inf
+            if self.copy.end >= self._reported_end:
+                self._confirmed = max(self._confirmed, self._reported_time)
 
     def must_read(self, is_reader, now):
         """Return whether this daemon should read the log now.
 
         Args:
-            is_reader: Whether it is among those that read for the others.
+            is_reader: Whether this daemon reads the log on behalf of others.
             now: Time of the loop's clock in seconds.
         """
         if is_reader or not self.copy.is_known:
             return True
-        return now - self._confirmed > self._patience
+        return now - self._confirmed > self._max_unconfirmed
 
 
 def _get_offset(record):
--- a/whinwinch/logservice/relay.py
+++ b/whinwinch/logservice/relay.py
@@ -1,38 +1,39 @@
-"""Configuration records on their way from the log to every daemon.
+"""Distribution of configuration records from the log to every daemon.
 
-The load pattern: 4,500 daemons want every change within seconds, and the log
-is to be read by a few of them only. Whoever gets a record, from the log or
-from a peer, applies it and hands it on. Records are applied in the order of
-their offsets and nothing older is ever taken, so it doesn't matter how often,
-from whom or in which order they come.
+Load pattern: 4,500 daemons need every change within seconds, but only a few of them
+may read the log. A daemon that receives a record, from the log or from a peer,
+applies it and forwards it. Records are applied in the order of their offsets and
+older ones are ignored, so it doesn't matter how often, from whom or in which order
+they arrive.
 
-The relay also keeps account of how old the configuration is: when a reader
-last found nothing beyond it in the log. That age travels with the offset.
-Without it a daemon could not tell a quiet log from one that nobody can read.
+The relay also tracks the age of the configuration: the time since a reader last
+found no newer record in the log. That age is sent along with the offset. Without it
+a daemon could not distinguish a log without changes from one that can't be read.
 """
 
 import bisect
 import math
 import operator
 
-# Most bytes of records in one answer, beyond the first record. A daemon that
-# has just started asks again until it has caught up.
-ANSWER_BYTES = 64 * 1024
-# Bytes of records kept to hand on. A change is some hundred bytes, so this is
-# a day of 1,600 changes with room to spare.
-STORE_BYTES = 2 * 1024 * 1024
-HARD_FACTOR = 2
+# Maximum size of the records in one answer, in bytes; the first record may exceed
+# it. A daemon that has just started repeats its request until it has caught up.
+MAX_ANSWER_BYTES = 64 * 1024
+# Maximum size of the records kept for peers, in bytes. A change has some hundred
+# bytes, so this holds more than a day of 1,600 changes.
+MAX_STORE_BYTES = 2 * 1024 * 1024
+# Factor of that limit up to which records that no snapshot covers are kept.
+HARD_LIMIT_FACTOR = 2
 
 
 class Relay:
-    """Applies configuration records and hands them on.
+    """Applies configuration records and provides them to peers.
 
     Args:
-        apply_record: Takes a `client.Record`; returns whether it was taken.
-            It refuses a record that would leave a gap.
-        records_from: Takes an offset; returns the records that bring somebody
-            who has everything before it up to date, as a tuple.
-        find_offset: Returns the next offset wanted.
+        apply_record: Function from a `client.Record` to whether it was applied. It
+            rejects a record that would leave a gap.
+        records_from: Function from an offset to a tuple of the records that bring
+            a peer that has everything before it up to date.
+        find_offset: Function that returns the offset of the next record to apply.
     """
 
     def __init__(self, apply_record, records_from, find_offset):
@@ -43,29 +44,29 @@
 
     @property
     def offset(self):
-        """Next offset wanted."""
+        """Offset of the next record to apply."""
         return self._find_offset()
 
     def take(self, records):
         """Apply the records that are new.
 
-        A peer may be behind, and late messages carry old records. Applying
-        one would bring back a configuration that was replaced.
+        A peer may be behind, and late messages carry old records. Applying an old
+        record would restore a configuration that was replaced.
 
         Returns:
-            How many were taken.
+            The number of records applied.
         """
-        taken = 0
+        applied = 0
         for record in records:
             if record.offset >= self._find_offset() and self._apply_record(record):
-                taken += 1
-        return taken
+                applied += 1
+        return applied
 
-    def give(self, offset, limit=ANSWER_BYTES):
-        """Return records for somebody whose next offset wanted is this.
+    def give(self, offset, limit=MAX_ANSWER_BYTES):
+        """Return records for a peer, from the next offset that it needs.
 
-        At least one, if there is any, and more while they fit into `limit`
-        bytes.
+        Returns at least one record, if there is any, and more as long as they fit
+        into `limit` bytes.
         """
         if offset >= self._find_offset():
             return ()
@@ -79,18 +80,18 @@
         return tuple(chosen)
 
     def confirm(self, offset, age, now):
-        """Note that the log's next offset was `offset` that many seconds ago.
+        """Record that the log's next offset was `offset`, `age` seconds ago.
 
-        It says nothing about this daemon's configuration while that is behind
-        the offset.
+        This does not confirm the local configuration while it is behind the
+        offset.
         """
         if offset <= self._find_offset():
             self._confirmed = max(self._confirmed, now - age)
 
     def find_age(self, now):
-        """Return the seconds since the configuration was known to be the newest.
+        """Return the seconds since the configuration was last confirmed as current.
 
-        Infinite when it never was.
+        The age is infinite if the configuration was never confirmed.
         """
         return now - self._confirmed
 
@@ -99,14 +100,14 @@
     """Recent configuration records, kept in memory to hand on to peers.
 
     Args:
-        find_covered: Takes a record's data; returns the offset that it covers
-            (everything before it) when it is a snapshot, else None.
-        limit: Bytes kept. What the newest snapshot doesn't cover is kept beyond
-            that, up to `HARD_FACTOR` times as much, since a peer that starts
-            needs all of it.
+        find_covered: Function from a record's data to the offset before which a
+            snapshot covers everything, or None if it is not a snapshot.
+        limit: Maximum size of the records kept, in bytes. Records that the newest
+            snapshot doesn't cover are kept up to `HARD_LIMIT_FACTOR` times that
+            size, since a peer that starts needs all of them.
     """
 
-    def __init__(self, find_covered, limit=STORE_BYTES):
+    def __init__(self, find_covered, limit=MAX_STORE_BYTES):
         self._find_covered = find_covered
         self._limit = limit
         self._records = []
@@ -115,24 +116,24 @@
         self._covered = 0
 
     def add(self, record):
-        """Keep a record that has been applied.
+        """Store a record that has been applied.
 
-        The records kept have no gap. A snapshot that was taken in out of turn
-        is kept beside them, and what was kept before it is dropped: the
-        records that it doesn't cover come next, and a peer that got the
-        snapshot without them would be stuck.
+        The stored records have no gap. A snapshot that was installed out of order
+        is stored separately, and the records stored before it are dropped: the
+        records that it doesn't cover follow, and a peer that received the snapshot
+        without them could not proceed.
         """
         covered = self._find_covered(record.data)
         if covered is not None and covered >= self._covered:
             self._snapshot, self._covered = record, covered
-        wanted = self._records[-1].offset + 1 if self._records else None
-        if covered is not None and record.offset != wanted:
-            if wanted is None or covered > wanted:
+        next_offset = self._records[-1].offset + 1 if self._records else None
+        if covered is not None and record.offset != next_offset:
+            if next_offset is None or covered > next_offset:
                 self._clear()
             return
-        if wanted is not None and record.offset < wanted:
+        if next_offset is not None and record.offset < next_offset:
             return
-        if wanted is not None and record.offset > wanted:
+        if next_offset is not None and record.offset > next_offset:
             self._clear()
         self._records.append(record)
         self._size += len(record.data)
@@ -144,11 +145,11 @@
         self._size = 0
 
     def records_from(self, offset):
-        """Return what brings somebody up to date who has all before `offset`.
+        """Return the records that a peer with everything before `offset` needs.
 
-        The records from the offset on, when all of them are kept. Otherwise
-        the newest snapshot and what it doesn't cover. Nothing when neither is
-        kept: records after a gap would be of no use.
+        Returns the records from the offset on if all of them are stored, otherwise
+        the newest snapshot and the records that it doesn't cover. If neither is
+        stored, returns nothing: a peer can't apply records after a gap.
         """
         if self._keeps(offset):
             return tuple(self._records[self._find_index(offset) :])
@@ -160,7 +161,9 @@
 
     def _is_droppable(self, record):
         if self._snapshot is not None and record.offset >= self._covered:
-            return self._size > HARD_FACTOR * self._limit and len(self._records) > 1
+            return (
+                self._size > HARD_LIMIT_FACTOR * self._limit and len(self._records) > 1
+            )
         return self._size > self._limit and len(self._records) > 1
 
     def _keeps(self, offset):
--- a/whinwinch/logservice/sources.py
+++ b/whinwinch/logservice/sources.py
@@ -1,41 +1,43 @@
-"""Who reads the log for the others, decided without an election.
-
-Load pattern: each daemon that reads the log for itself makes a call each second or
-two, and each record that one writes wakes them all, so the calls grow with the
-square of the daemons. Here one daemon of each availability zone reads, or of each of
-its groups where it is large, and each daemon hears of the log from that of its own
-zone and from that of the next, so one that dies, freezes or is cut off costs nothing.
-
-Everyone ranks the daemons that it knows by a hash of their addresses and sees by
-itself whether it is the first. When two daemons know different members, one too
-many reads or one too few; too few shows in copies that nobody confirms.
+"""Selection of the daemons that read the log for the others, without an election.
+
+Load pattern: a daemon that reads the log for itself makes a call every second or
+two, and each record that a daemon writes wakes all of them, so the number of calls
+grows with the square of the number of daemons. Therefore one daemon of each
+availability zone reads, or one of each group in a large zone. Every daemon receives
+the log's records from the reader of its own zone and from that of the next one, so
+that nothing is lost when a reader dies, freezes or becomes unreachable.
+
+Every daemon ranks the daemons that it knows by a hash of their addresses and sees
+locally whether it ranks first. When two daemons know different members, there may be
+one reader too many or too few; too few shows in copies that are not confirmed.
 """
 
 import itertools
 import zlib
 from typing import NamedTuple
 
-# Daemons of higher rank that are tried at once though they are out of reach.
-MOST_TRIED = 3
-# Daemons out of reach that a reader visits at once.
-MOST_VISITED = 8
-# Daemons of a zone that one reader tells, at most; a larger zone has more readers.
+# Maximum number of unreachable daemons of higher rank to connect to concurrently.
+MAX_UNREACHABLE_TRIED = 3
+# Maximum number of unreachable group members that a reader tries concurrently.
+MAX_UNREACHABLE_VISITED = 8
+# Maximum number of daemons that one reader serves; a larger zone has more readers.
 GROUP_SIZE = 64
-# The lowest bits of a weight order the daemons, those above divide them.
-GROUP_BITS = 1 << 16
+# Divisor that drops the low bits of a hash: the low bits rank the daemons, the
+# higher bits assign them to groups.
+GROUP_HASH_DIVISOR = 1 << 16
 
 
 class Sources(NamedTuple):
-    """From whom a daemon hears of the log.
+    """The daemons from which one daemon receives the log's records.
 
     Attributes:
-        is_reader: Whether it reads the log itself.
-        wanted: Addresses of the daemons that it should be connected with.
+        is_reader: Whether this daemon reads the log itself.
+        wanted: Addresses of the daemons that it should be connected to.
         reader: Address of the daemon that reads for it, which may be itself.
-        is_relay: Whether that is itself, so that it passes on what its daemons tell. In
-            a single group a second daemon reads and passes nothing on.
-        others: For one that reads, addresses of those that read for the others.
-        place: Place of the own group among all.
+        is_relay: Whether `reader` is this daemon, so that it relays the reports of
+            its group. In a single group a second daemon reads but relays nothing.
+        others: For a reader, addresses of the readers of the other groups.
+        place: Index of this daemon's group among all groups.
     """
 
     is_reader: bool
@@ -47,7 +49,13 @@
 
 
 class Group(NamedTuple):
-    """Daemons for which one of them reads, those that read first in front."""
+    """Daemons that share one reader.
+
+    Attributes:
+        zone: Name of their availability zone.
+        number: Index of the group within the zone.
+        addresses: Their addresses, highest rank first.
+    """
 
     zone: str
     number: int
@@ -55,84 +63,96 @@
 
 
 class Ranks:
-    """The daemons known by availability zone, those that read first in front.
+    """The known daemons in groups by availability zone, highest rank first.
 
     Args:
-        own: Address of this daemon.
-        zone: Its availability zone.
-        endpoints: `messages.Endpoint` tuples of the other daemons known.
+        local_address: Address of this daemon.
+        zone: Name of its availability zone.
+        endpoints: `messages.Endpoint` tuples of the known daemons.
     """
 
-    def __init__(self, own, zone, endpoints):
-        self._own = own
-        zones = {zone: [own]}
+    def __init__(self, local_address, zone, endpoints):
+        self._local_address = local_address
+        zones = {zone: [local_address]}
         for endpoint in endpoints:
-            if endpoint.address != own:
+            if endpoint.address != local_address:
                 zones.setdefault(endpoint.zone, []).append(endpoint.address)
         for addresses in zones.values():
-            addresses.sort(key=_weigh)
+            addresses.sort(key=_rank)
         groups = [
             Group(name, number, members)
             for name in sorted(zones)
             for number, members in enumerate(_divide(zones[name]))
         ]
-        (mine,) = (n for n, group in enumerate(groups) if own in group.addresses)
-        self._near = groups[mine].addresses
-        self._place = mine
-        # Those of the next zone lose power apart from the own ones.
-        self._rest = [g.addresses for g in groups[mine + 1 :] + groups[:mine]]
-        self._far = _find_far(groups, mine)
+        (local_index,) = (
+            n for n, group in enumerate(groups) if local_address in group.addresses
+        )
+        self._local_group = groups[local_index].addresses
+        self._place = local_index
+        # The next zone loses power independently of the local one.
+        self._other_groups = [
+            g.addresses for g in groups[local_index + 1 :] + groups[:local_index]
+        ]
+        self._second_group = _find_second_group(groups, local_index)
 
-    def choose(self, is_up, find_heard=frozenset):
-        """Return the `Sources`.
+    def choose(self, is_up, find_connected=frozenset):
+        """Return the `Sources` of this daemon.
 
         Args:
             is_up: Function from an address to whether its daemon is connected.
-            find_heard: Function that returns the addresses of the daemons that have
-                connected with this one.
+            find_connected: Function that returns the addresses of the daemons that
+                have connected to this one.
         """
-        near = self._walk(self._near, is_up)
+        near = self._walk(self._local_group, is_up)
         reader, readers = near[-1], near[-1:]
-        if self._far is not self._near:
-            other = self._walk(self._far, is_up)
+        if self._second_group is not self._local_group:
+            other = self._walk(self._second_group, is_up)
         else:
-            # A single group: its first two read, so that there is a second one too.
-            other = self._walk([a for a in self._near if a not in readers], is_up)
+            # In a single group the first two read, so that there is a second source.
+            other = self._walk(
+                [a for a in self._local_group if a not in readers], is_up
+            )
             readers += other[-1:]
-        is_reader = self._own in readers
-        visited, others = (), ()
+        is_reader = self._local_address in readers
+        visited_addresses, others = (), ()
         if is_reader:
-            walks = [self._walk(addresses, is_up) for addresses in self._rest]
+            walks = [self._walk(addresses, is_up) for addresses in self._other_groups]
             others = tuple(walk[-1] for walk in walks)
-            heard = find_heard()
-            lost = self._find_lost(lambda address: address in heard or is_up(address))
-            visited = (*itertools.chain(*walks), *lost)
-        wanted = dict.fromkeys((*near, *other, *visited))
-        wanted.pop(self._own, None)
-        is_relay = reader == self._own
+            connected = find_connected()
+            unreachable = self._find_unreachable(
+                lambda address: address in connected or is_up(address)
+            )
+            visited_addresses = (*itertools.chain(*walks), *unreachable)
+        wanted = dict.fromkeys((*near, *other, *visited_addresses))
+        wanted.pop(self._local_address, None)
+        is_relay = reader == self._local_address
         return Sources(is_reader, tuple(wanted), reader, is_relay, others, self._place)
 
-    def _find_lost(self, is_linked):
-        """Return daemons that this one reads for and that are out of reach.
+    def _find_unreachable(self, is_linked):
+        """Return unreachable daemons of the group that this daemon reads for.
 
-        One that has started anew while the log can't be read knows nobody and waits
-        to be found.
+        A daemon that restarts while the log can't be read knows no peers and has
+        to be contacted.
         """
-        lost = (a for a in self._near if a != self._own and not is_linked(a))
-        return itertools.islice(lost, MOST_VISITED)
+        unreachable = (
+            a
+            for a in self._local_group
+            if a != self._local_address and not is_linked(a)
+        )
+        return itertools.islice(unreachable, MAX_UNREACHABLE_VISITED)
 
     def _walk(self, addresses, is_up):
-        """Return the addresses up to the first that can be heard."""
-        passed = []
+        """Return the addresses up to the first that is connected."""
+        skipped = []
         for address in addresses:
-            if address == self._own or is_up(address):
-                return (*passed[:MOST_TRIED], address)
-            passed.append(address)
-        return tuple(passed[:MOST_TRIED])
+            if address == self._local_address or is_up(address):
+                return (*skipped[:MAX_UNREACHABLE_TRIED], address)
+            skipped.append(address)
+        return tuple(skipped[:MAX_UNREACHABLE_TRIED])
 
 
 def _divide(addresses):
-    """Divide the daemons of a zone into groups, each with a reader of its own.
+    """Divide the daemons of a zone into groups that have one reader each.
 
     The number of groups is a power of two, so that it changes rarely.
     """
@@ -141,24 +161,24 @@
         count *= 2
     groups = [[] for _ in range(count)]
     for address in addresses:
-        groups[_weigh(address)[0] // GROUP_BITS % count].append(address)
+        groups[_rank(address)[0] // GROUP_HASH_DIVISOR % count].append(address)
     return [group for group in groups if group]
 
 
-def _find_far(groups, mine):
-    """Return the addresses of the group that is heard besides the own one.
+def _find_second_group(groups, local_index):
+    """Return the addresses of the group that provides the second source.
 
-    The one of the same number in the next zone; where there is one zone only, the
-    next group of it.
+    It is the group of the same number in the next zone or, if there is only one
+    zone, the next group of that zone.
     """
-    own = groups[mine]
-    turned = groups[mine:] + groups[:mine]
-    elsewhere = [group for group in turned if group.zone != own.zone]
+    local_group = groups[local_index]
+    rotated = groups[local_index:] + groups[:local_index]
+    elsewhere = [group for group in rotated if group.zone != local_group.zone]
     if elsewhere:
-        zone = [group for group in elsewhere if group.zone == elsewhere[0].zone]
-        return zone[own.number % len(zone)].addresses
-    return turned[1 % len(turned)].addresses
+        next_zone = [group for group in elsewhere if group.zone == elsewhere[0].zone]
+        return next_zone[local_group.number % len(next_zone)].addresses
+    return rotated[1 % len(rotated)].addresses
 
 
-def _weigh(address):
+def _rank(address):
     return zlib.crc32(address.encode()), address
--- a/whinwinch/logservice/streams.py
+++ b/whinwinch/logservice/streams.py
@@ -1,7 +1,7 @@
-"""Names of the log's streams that the system uses.
+"""Names of the log's streams.
 
-Each kind of state has a stream of its own, so that a reader of one is never
-held up by the records of another, and each can be kept for its own time.
+Each kind of state has a separate stream, so that the records of one kind never
+delay the readers of another, and each stream can have its own retention.
 """
 
 CONFIGURATION = "configuration"
