--- a/test/test_messages.py
+++ b/test/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests for ranks."""
+"""Tests of the ranks of requests."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class RankTest(unittest.TestCase):
-    def test_importance_goes_before_the_hash(self):
+    def test_importance_outweighs_the_hash(self):
         for number in range(200):
             low = build_request(str(number), messages.Importance.NORMAL)
             high = build_request(str(number + 1), messages.Importance.HIGH)
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -1,8 +1,8 @@
-"""The daemon on one instance: its parts, its beliefs, its stop.
+"""State and planned stop of the daemon on one instance.
 
-What is kept here is kept nowhere else. After a restart the configuration and the
-other daemons are read from the log, the backend server announces itself within a
-heartbeat, and levels and latencies are learnt anew.
+The state is held in memory only. After a restart the daemon reads the configuration
+and the records of the other daemons from the log, the backend server announces itself
+with its next heartbeat, and admission levels and latencies are learned again.
 """
 
 import asyncio
@@ -29,35 +29,38 @@
 from .placement import Placement
 from .reportedlevels import ReportedLevels
 
-# Share of a route's objective that a call from inside may wait for a slot. The calls
-# of one request wait one after the other: longer, and what is let in comes late.
-WAIT_SHARE = 0.25
-# A caller's own request waits here and nowhere else; what is left of its objective
-# is for the work.
-CALLERS_WAIT_SHARE = 0.5
-# Where a route states no objective.
-USUAL_OBJECTIVE = 1.0
-# Between two tellings of levels; left out while nothing is refused.
-TELL_SECONDS = 0.1
-# Between two sums of a relay, short since it adds to the age of what it passes on.
-RELAY_SECONDS = 0.05
-# After the signal callers need about two seconds to be sent elsewhere; until
-# then each is served, and told to open its next connection to another daemon.
+# Share of a route's objective that a nested call may wait for a slot. The waits of
+# sequential calls of one request add up: with a larger share, admitted requests are
+# answered too late.
+NESTED_CALL_WAIT_SHARE = 0.25
+# A root request waits only here; the rest of its objective is left for the work.
+ROOT_REQUEST_WAIT_SHARE = 0.5
+# Objective in seconds of a request whose route isn't configured.
+DEFAULT_OBJECTIVE = 1.0
+# Seconds between two reports of levels; none are sent while nothing is refused.
+LEVELS_INTERVAL = 0.1
+# Seconds between two sums of a relay; short, because it adds to the age of the levels
+# that the relay passes on.
+RELAY_INTERVAL = 0.05
+# Seconds after the stop signal during which all requests are still served. Callers
+# need about two seconds to be routed to other daemons; each answer asks them to open
+# their next connection elsewhere.
 STOP_LINGER = 2.2
-# Time kept free at the end of the time allowed for a stop.
+# Seconds reserved for closing at the end of the time allowed for a stop.
 STOP_RESERVE = 0.4
-STOP_TICK = 0.02
-# Between two looks at what is known of calls, and until it is told once more, to those
-# that have connected since.
-GRAPH_SECONDS = 0.25
-GRAPH_REPEAT_SECONDS = 2.0
-# Between two looks at who reads the log: as soon as one that read is out of reach
-# another one should.
-SOURCES_SECONDS = 0.1
+# Seconds between two checks of a condition during a stop.
+STOP_POLL_INTERVAL = 0.02
+# Seconds between two checks of the call topology for changes, and until an unchanged
+# topology is sent again for daemons that have connected since.
+GRAPH_INTERVAL = 0.25
+GRAPH_REPEAT_INTERVAL = 2.0
+# Seconds between two choices of the log's readers: another daemon should take over as
+# soon as a reader is unreachable.
+SOURCES_INTERVAL = 0.1
 
 
-class Place(NamedTuple):
-    """Where the daemon is.
+class Location(NamedTuple):
+    """Address and location of the daemon.
 
     Attributes:
         address: Address for other daemons.
@@ -71,7 +74,7 @@
 
 
 class ConfigurationChange(NamedTuple):
-    """Event: another version of the configuration is in force."""
+    """Event: another version of the configuration was installed."""
 
     version: int
     before: int
@@ -79,7 +82,7 @@
 
 
 class BackendChange(NamedTuple):
-    """Event: what is known of the own backend server has changed."""
+    """Event: the state of the local backend server has changed."""
 
     identity: str
     service: str
@@ -88,24 +91,24 @@
 
 
 class Instance:
-    """The parts of one daemon.
+    """The components of one daemon and its state.
 
     Args:
-        place: `Place`.
+        location: `Location`.
         backend_address: `settings.Address` of the backend server.
         dialect: `backends.guard.Dialect`.
         repeat_limits: `repeats.RepeatLimits` of all services.
     """
 
-    def __init__(self, place, backend_address, dialect, repeat_limits):
+    def __init__(self, location, backend_address, dialect, repeat_limits):
         self._loop = asyncio.get_running_loop()
-        self.place = place
+        self.location = location
         self.table = routes.RouteTable()
         self.round_robin = routes.WeightedRoundRobin()
-        self.directory = directory.Directory(place.address)
-        hello = frames.Hello(messages.new_identifier(), place.address)
-        self.traffic = traffic.Traffic(self._is_far)
-        self.peers = links.Peers(hello, self._take_news, self.traffic)
+        self.directory = directory.Directory(location.address)
+        hello = frames.Hello(messages.new_identifier(), location.address)
+        self.traffic = traffic.Traffic(self._is_in_other_zone)
+        self.peers = links.Peers(hello, self._apply_frame, self.traffic)
         self.graph = callgraph.CallGraph()
         self._reported_levels = ReportedLevels()
         self.guard = Guard(
@@ -114,45 +117,46 @@
             repeats.RepeatBudget(
                 repeat_limits, self._count_endpoints, self._loop.time()
             ),
-            self._find_wait,
+            self._find_max_wait,
             self.graph,
         )
         self.exchange = exchange.Exchange(
             hello,
             self.guard.serve,
-            _refuse_forgotten,
-            take_topic=self._take_topic,
-            greet=self._greet,
-            take_relayed=self._take_relayed,
+            _answer_abandoned,
+            take_topic=self._apply_topic,
+            greet=self._handle_hello,
+            take_relayed=self._apply_relayed,
             counted=self.traffic,
         )
-        self.topics = topics.Topics(self._tell_all)
-        self._sources = sources.Sources(True, (), place.address)
-        # By address: the start of the daemon there that connected last.
-        self._starts = {}
+        self.topics = topics.Topics(self._broadcast)
+        self._sources = sources.Sources(True, (), location.address)
+        # Identifier of the last daemon that connected from each address. It is new at
+        # every start of a daemon.
+        self._connected_daemons = {}
         self.forwarder = Forwarder(
-            place.address,
+            location.address,
             self.directory,
-            subsets.Subsets(place.address, place.zone, self.directory),
+            subsets.Subsets(location.address, location.zone, self.directory),
             self.peers,
             self.guard,
-            Placement(place.zone, random.Random()),
+            Placement(location.zone, random.Random()),
             self._reported_levels,
         )
         self.is_stopping = False
         self._is_leaving = False
-        self._started = self._loop.time()
-        self._table_since = self._started
+        self._started_at = self._loop.time()
+        self._table_installed_at = self._started_at
         self._routes = {}
         self._service_routes = {}
         self._publish()
 
     async def listen(self, address):
-        """Take calls of other daemons at a `settings.Address`; return the port."""
+        """Listen for other daemons at a `settings.Address`; return the port."""
         return await self.exchange.listen(address.host, address.port)
 
     def install_table(self, table):
-        """Put a newer version of the routes in force; an older one never.
+        """Install a version of the routes if it is newer than the present one.
 
         Returns:
             Whether it was newer.
@@ -164,20 +168,20 @@
         )
         events.write("configuration", change)
         self.table = table
-        self._table_since = self._loop.time()
+        self._table_installed_at = self._loop.time()
         self.round_robin.prune(table)
         self._routes = {route.name: route for route in table.routes}
         self._service_routes = _group_by_service(table.routes)
         timeouts = [r.timeout for r in table.routes if math.isfinite(r.timeout)]
-        self.graph.unknown_until = self._started + max(timeouts, default=0.0)
+        self.graph.unknown_until = self._started_at + max(timeouts, default=0.0)
         return True
 
     def find_table_age(self, now):
-        """Return the seconds for which the present routes have been in force."""
-        return now - self._table_since
+        """Return the seconds since the present routes were installed."""
+        return now - self._table_installed_at
 
     def install_backend(self, backend):
-        """Take what the own backend server is from now on, None for none."""
+        """Replace the local `Backend`, None if no backend server is announced."""
         if backend == self.guard.backend:
             return
         events.write("backend", BackendChange(*(backend or Backend("", "", 0, True))))
@@ -185,23 +189,27 @@
         self._publish()
 
     def record_endpoint(self, address, endpoint):
-        """Take what the log holds of the daemon at an address, None for nothing."""
+        """Apply the logged record of the daemon at an address, None if withdrawn."""
         self.directory.apply_record(address, endpoint)
         if not self._is_up(address):
-            # It may have told of an earlier start that it leaves.
+            # The last report may be of an earlier start that was leaving.
             self.directory.discard_report(address)
         if endpoint is None:
             self.peers.forget(address)
-            self._starts.pop(address, None)
+            self._connected_daemons.pop(address, None)
 
     async def serve(self, request, route, expires, connection=0):
-        """Serve a request of a caller or a call of the own backend server.
+        """Serve a request of a caller or a call of the local backend server.
 
         Args:
             request: `messages.Request`.
             route: `routes.Route`.
-            expires: When the caller stops waiting, whatever the route says.
-            connection: Number of the connection that it came on.
+            expires: Time of the loop's clock at which the caller stops waiting,
+                regardless of the route's timeout.
+            connection: Number of the connection on which the request arrived.
+
+        Returns:
+            The `messages.Answer`.
         """
         parent = self._find_parent(request, connection, expires)
         if parent is None:
@@ -213,21 +221,23 @@
             self.graph.end_call(parent, connection, self._loop.time())
 
     async def stop(self, servers, seconds, leave):
-        """Finish what is in flight, then close.
+        """Finish the requests in flight, then stop serving.
 
-        Until callers have been sent elsewhere all is served, calls of other daemons
-        too: the backend server lives on, and without this daemon nobody reaches it.
-        Refused from the signal on, a service of three endpoints loses one of them for
-        as long as the daemon takes to stop and start.
+        All requests, also the calls of other daemons, are served until callers have
+        been routed elsewhere: the backend server keeps running and can be reached
+        only through this daemon. If calls were refused from the signal on, a service
+        of three endpoints would lose one of them while the daemon stops and restarts.
 
         Args:
-            servers: `http1.server.Server` objects towards callers.
+            servers: `http1.server.Server` objects that serve callers.
             seconds: Seconds until the process is killed.
-            leave: Function that withdraws this daemon from the log.
+            leave: Function that withdraws this daemon's record from the log.
         """
-        began = self._loop.time()
+        started_at = self._loop.time()
         self.is_stopping = True
-        events.write("stop", events.Message("serving until callers are elsewhere"))
+        events.write(
+            "stop", events.Message("serving until callers have been routed elsewhere")
+        )
         for server in servers:
             server.begin_stop()
         await asyncio.sleep(min(STOP_LINGER, seconds / 2))
@@ -235,21 +245,25 @@
         leave()
         self.guard.stop()
         self._publish()
-        until = began + seconds - STOP_RESERVE
-        # What runs at the backend server still makes calls, over new connections
-        # to the address that callers use, too.
+        until = started_at + seconds - STOP_RESERVE
+        # Requests at the backend server may still make nested calls, also over new
+        # connections to the callers' address.
         await self._wait_until(lambda: not self.guard.running, until)
         for server in servers:
             server.end_stop()
         await self._wait_until(lambda: self._is_idle(servers), until)
         idle = self._is_idle(servers)
-        text = "nothing in flight" if idle else "the time allowed is over"
+        text = (
+            "no requests in flight"
+            if idle
+            else "ran out of time with requests in flight"
+        )
         events.write("stopped", events.Message(text))
 
     async def _wait_until(self, condition, until):
-        """Wait for a condition, at most until a time of the loop's clock."""
+        """Poll a condition until it holds or a time of the loop's clock is reached."""
         while self._loop.time() < until and not condition():
-            await asyncio.sleep(STOP_TICK)
+            await asyncio.sleep(STOP_POLL_INTERVAL)
 
     def close(self):
         """Close all connections to other daemons and to the backend server."""
@@ -259,13 +273,13 @@
 
     @property
     def endpoint(self):
-        """What others are told of the own backend server."""
+        """The `messages.Endpoint` that is reported to other daemons."""
         backend = self.guard.backend
         if backend is not None and self._is_leaving:
             backend = backend._replace(leaving=True)
-        place = self.place
+        location = self.location
         return directory.build_endpoint(
-            place.address, backend, place.zone, place.region
+            location.address, backend, location.zone, location.region
         )
 
     def _is_idle(self, servers):
@@ -273,12 +287,16 @@
         return not in_flight and all(server.is_idle for server in servers)
 
     def _publish(self):
-        """Tell the daemons that are connected, and the own directory."""
-        self.directory.apply_report(self.place.address, self.endpoint)
+        """Report the endpoint to connected daemons and to the local directory."""
+        self.directory.apply_report(self.location.address, self.endpoint)
         self.exchange.tell(frames.News(self.endpoint))
 
     def _find_parent(self, request, connection, expires):
-        """Return the `callgraph.Parent` of a call, None for a caller's request."""
+        """Record a call in the call graph and return its `callgraph.Parent`.
+
+        Returns:
+            None for a root request.
+        """
         now, call = self._loop.time(), request.call
         if self.graph.observe(call, connection, expires, now):
             return None
@@ -287,7 +305,7 @@
         return self.graph.begin_call(call, connection, expires, now, is_own)
 
     def _inherit(self, call, parent):
-        """Return a call with what it has of the request that made it."""
+        """Return a nested call with the attributes that it inherits from its parent."""
         return call._replace(
             importance=messages.Importance(parent.importance),
             root=parent.run.request.root,
@@ -296,23 +314,26 @@
             of_repeat=parent.run.request.is_repeat,
         )
 
-    def _take_news(self, address, news):
-        """Take what another daemon tells of itself."""
+    def _apply_frame(self, address, news):
+        """Apply a frame of the daemon at an address."""
         if isinstance(news, exchange.RELAYED_KINDS):
-            self._take_relayed(address, news)
+            self._apply_relayed(address, news)
             return
         if isinstance(news, frames.TOPIC_KINDS):
-            self._take_topic(self.peers.find(address).tell, news)
+            self._apply_topic(self.peers.find(address).tell, news)
             return
         self.directory.apply_report(address, news.endpoint)
 
-    def _find_wait(self, request):
+    def _find_max_wait(self, request):
+        """Return the seconds that a request may wait for a slot."""
         route = self._routes.get(request.call)
-        objective = route.objective if route is not None else USUAL_OBJECTIVE
-        return (WAIT_SHARE if request.via else CALLERS_WAIT_SHARE) * objective
+        objective = route.objective if route is not None else DEFAULT_OBJECTIVE
+        return (
+            NESTED_CALL_WAIT_SHARE if request.via else ROOT_REQUEST_WAIT_SHARE
+        ) * objective
 
-    def _take_relayed(self, address, frame):
-        """Take what one daemon tells its relay, or a relay others."""
+    def _apply_relayed(self, address, frame):
+        """Apply a frame that a daemon sent to its relay or a relay to daemons."""
         now = self._loop.time()
         if isinstance(frame, frames.Graph):
             self.graph.merge_topology(frame.facts)
@@ -323,177 +344,185 @@
         else:
             self._reported_levels.record_relay_sum(address, frame.cuts, now)
 
-    async def keep_levels(self):
-        """Tell the relay the levels of the own routes, for ever."""
-        told = ()
+    async def report_levels(self):
+        """Report the levels of the local routes to the relay until cancelled."""
+        reported = ()
         while True:
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(LEVELS_INTERVAL)
             levels = tuple(self.list_levels())
-            if levels or told:
+            if levels or reported:
                 self._reported_levels.record_levels(
-                    self.place.address, levels, self._loop.time()
+                    self.location.address, levels, self._loop.time()
                 )
                 if not self._sources.is_relay:
                     self.peers.find(self._sources.reader).tell(frames.Levels(levels))
-            told = levels
+            reported = levels
 
-    async def keep_relay(self):
-        """As the relay of a zone add up its levels and tell them, for ever."""
-        told = ()
+    async def relay_levels(self):
+        """Send the sums of levels, while this is the zone's relay, until cancelled."""
+        sent = ()
         while True:
-            await asyncio.sleep(RELAY_SECONDS)
-            told = self._relay_levels(told) if self._sources.is_relay else ()
+            await asyncio.sleep(RELAY_INTERVAL)
+            sent = self._send_level_sums(sent) if self._sources.is_relay else ()
 
-    def _relay_levels(self, told):
-        """Tell the sums of levels; return those of all daemons.
+    def _send_level_sums(self, sent):
+        """Send the zone's sum of levels to other relays, and the total to the zone.
 
         Args:
-            told: What was returned the time before. Zeros are told once.
+            sent: Total of the previous call. When the levels have dropped to zero,
+                an empty sum is sent once.
+
+        Returns:
+            The total over all daemons.
         """
         now = self._loop.time()
-        own, total = (
+        zone_sum, total = (
             self._reported_levels.sum_daemons(now),
             self._reported_levels.sum_all(now),
         )
-        if total or told:
+        if total or sent:
             for address in self._sources.others:
-                self.peers.find(address).tell(frames.LevelSum(False, own))
-            self.exchange.tell_all(frames.LevelSum(True, total), self._is_near)
+                self.peers.find(address).tell(frames.LevelSum(False, zone_sum))
+            self.exchange.tell_all(frames.LevelSum(True, total), self._is_in_local_zone)
             self._reported_levels.record_total(total, now)
         return total
 
-    async def keep_graph(self):
-        """Tell what is known of calls, through the relay, for ever.
+    async def report_topology(self):
+        """Report the call topology through the relay until cancelled.
 
-        A daemon that has just started knows which calls a level concerns before it
-        has seen any.
+        A daemon that has just started thereby learns which calls a level concerns
+        before it has observed any.
         """
-        told, repeat = None, 0.0
+        sent, next_repeat = None, 0.0
         while True:
-            await asyncio.sleep(GRAPH_SECONDS)
+            await asyncio.sleep(GRAPH_INTERVAL)
             facts, reader = self.graph.export_topology(), self._sources.reader
             now = self._loop.time()
-            if (facts, reader) != told or now >= repeat:
-                self._tell_graph(frames.Graph(facts))
-                told, repeat = (facts, reader), now + GRAPH_REPEAT_SECONDS
+            if (facts, reader) != sent or now >= next_repeat:
+                self._send_topology(frames.Graph(facts))
+                sent, next_repeat = (facts, reader), now + GRAPH_REPEAT_INTERVAL
 
-    def _tell_graph(self, frame):
+    def _send_topology(self, frame):
         if not self._sources.is_relay:
             self.peers.find(self._sources.reader).tell(frame)
             return
         for address in self._sources.others:
             self.peers.find(address).tell(frame)
-        self.exchange.tell_all(frame, self._is_near)
+        self.exchange.tell_all(frame, self._is_in_local_zone)
 
     @property
-    def reader_place(self):
-        """Place of the own group of daemons among all that have a reader each."""
+    def reader_rank(self):
+        """Index of the local group of daemons among all groups with a reader each."""
         return self._sources.place
 
     def is_reader(self):
-        """Return whether this daemon reads the log for others."""
+        """Return whether this daemon reads the log for other daemons."""
         return self._sources.is_reader
 
-    async def keep_sources(self):
-        """Stay connected with those that read the log, for ever."""
+    async def maintain_sources(self):
+        """Choose readers of the log and stay connected to them until cancelled."""
         listed, ranks = None, None
         while True:
             if self.directory.all_endpoints is not listed:
                 listed = self.directory.all_endpoints
-                ranks = sources.Ranks(self.place.address, self.place.zone, listed)
+                ranks = sources.Ranks(self.location.address, self.location.zone, listed)
             self._sources = ranks.choose(self._is_up, self.exchange.find_addresses)
             for address in self._sources.wanted:
                 self.peers.find(address).keep()
             for address in self.peers.drop_unused(self._loop.time()):
                 self.directory.discard_report(address)
-            await asyncio.sleep(SOURCES_SECONDS)
+            await asyncio.sleep(SOURCES_INTERVAL)
 
-    def _greet(self, reply, hello):
-        """Take the greeting of a daemon that has connected to this one."""
-        before = self._starts.get(hello.address)
-        self._starts[hello.address] = hello.daemon
+    def _handle_hello(self, reply, hello):
+        """Handle the Hello frame of a daemon that has connected to this one."""
+        before = self._connected_daemons.get(hello.address)
+        self._connected_daemons[hello.address] = hello.daemon
         if before != hello.daemon and not self._is_up(hello.address):
             self.directory.discard_report(hello.address)
         self.topics.ask_missing(reply, self._loop.time())
 
-    def _is_far(self, address):
-        return self.directory.find_zone(address) not in ("", self.place.zone)
+    def _is_in_other_zone(self, address):
+        return self.directory.find_zone(address) not in ("", self.location.zone)
 
-    def _is_near(self, address):
-        return self.directory.find_zone(address) == self.place.zone
+    def _is_in_local_zone(self, address):
+        return self.directory.find_zone(address) == self.location.zone
 
     def _is_up(self, address):
         return self.peers.find(address).is_up
 
-    def _tell_all(self, frame):
-        """Tell those that hear from this daemon, and those that it hears from.
+    def _broadcast(self, frame):
+        """Send a frame to the daemons connected to this one and to its sources.
 
-        The latter may hang themselves, and nobody else be connected with them.
+        A source may have stalled as a reader while no other daemon is connected to
+        it.
         """
         self.exchange.tell_all(frame)
         for address in self._sources.wanted:
             self.peers.find(address).tell(frame)
 
-    def _take_topic(self, reply, frame):
+    def _apply_topic(self, reply, frame):
         self.topics.take(reply, frame, self._loop.time())
 
     def list_levels(self):
-        """Yield pairs of name and level for the routes to the own backend server."""
+        """Yield the name and level of each route to the local backend server."""
         for level in self.list_route_levels():
             yield level.route, max(level.own, level.below)
 
     def list_route_levels(self):
-        """Yield a `loadlog.RouteLevel` for each own route that has a level."""
-        for name in self._find_own_routes():
-            own, below = self.guard.find_level(name), self._find_below(name)
+        """Yield a `loadlog.RouteLevel` for each local route with a level above 0."""
+        for name in self._find_local_routes():
+            own, below = self.guard.find_level(name), self._find_downstream_level(name)
             if own > 0.0 or below > 0.0:
                 yield loadlog.RouteLevel(name, own, below)
 
-    async def keep_load_lines(self):
-        """Log the load of each second, for ever."""
+    async def log_load(self):
+        """Log the load at each interval until cancelled."""
         meter = loadlog.LoadMeter(self, self._loop.time())
         while True:
             await asyncio.sleep(loadlog.LOG_INTERVAL_SECONDS)
             loadlog.write_load(meter.read(self._loop.time()))
 
     def _count_endpoints(self):
-        """Return how many endpoints the service of the own backend server has."""
+        """Return the number of endpoints of the local backend server's service."""
         backend = self.guard.backend
         service = backend.service if backend is not None else ""
         return len(self.directory.find_endpoints(service))
 
-    def _find_own_routes(self):
-        """Return the names of the routes that lead to the own backend server."""
+    def _find_local_routes(self):
+        """Return the names of the routes that lead to the local backend server."""
         backend = self.guard.backend
         if backend is None:
             return ()
         return self._service_routes.get(backend.service, ())
 
-    def _find_below(self, name):
-        """Return the highest admission level that calls of a route's requests meet."""
+    def _find_downstream_level(self, name):
+        """Return the highest admission level on routes that a route's requests call."""
         now = self._loop.time()
         return max(
             (
                 self._reported_levels.level(
-                    child, self.directory.find_endpoints(part.service), now
+                    child, self.directory.find_endpoints(weighted.service), now
                 )
                 for child in self.graph.find_children(name)
                 if child in self._routes
-                for part in self._routes[child].weighted_services
+                for weighted in self._routes[child].weighted_services
             ),
             default=0.0,
         )
 
 
 def _group_by_service(routes):
-    """Return the names of routes by the services that they lead to."""
+    """Return a dict from each service to the names of the routes that lead to it."""
     names = collections.defaultdict(list)
     for route in routes:
-        for service in {part.service for part in route.weighted_services}:
+        for service in {each.service for each in route.weighted_services}:
             names[service].append(route.name)
     return dict(names)
 
 
-def _refuse_forgotten(request):
-    """Answer an attempt that may have run and is no longer remembered."""
+def _answer_abandoned(request):
+    """Return an answer of unknown outcome to an attempt that was abandoned.
+
+    The attempt may have run; its answer is no longer stored.
+    """
     return build_failure(request, Outcome.UNKNOWN, Reason.ABANDONED, 502)
--- a/whinwinch/messages.py
+++ b/whinwinch/messages.py
@@ -1,4 +1,4 @@
-"""The typed messages that the parts of a daemon, and daemons, pass around."""
+"""Typed messages exchanged within a daemon and between daemons."""
 
 import enum
 import hashlib
@@ -7,15 +7,15 @@
 import os
 from typing import NamedTuple
 
-# HTTP statuses from here on say that the server failed.
+# The lowest HTTP status that reports a failure of the server.
 FIRST_SERVER_ERROR = 500
 IDENTIFIER_BYTES = 16
 HASH_BYTES = 7
-HASHES = float(1 << 8 * HASH_BYTES)
+HASH_RANGE = float(1 << 8 * HASH_BYTES)
 
 
 class Importance(enum.IntEnum):
-    """How much a call matters; the higher, the later it is shed."""
+    """Importance of a call; calls of lower importance are shed first."""
 
     LOW = 0
     NORMAL = 1
@@ -24,10 +24,10 @@
 
 
 class Outcome(enum.Enum):
-    """What is known of a request once it has been answered.
+    """Outcome of a request, as far as the answering daemon can determine it.
 
-    NOT_RUN is a fact: no backend server was given the request, and none will
-    be. Where that isn't certain the outcome is UNKNOWN.
+    NOT_RUN guarantees that no backend server has run the request and none will.
+    Where that isn't certain, the outcome is UNKNOWN.
     """
 
     COMPLETED = "completed"
@@ -36,7 +36,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused or its outcome isn't known."""
+    """Reason for which a request was refused or its outcome is unknown."""
 
     NONE = "none"
     LEVEL = "admission-level"
@@ -63,37 +63,39 @@
 
 
 class Refusal(NamedTuple):
-    """What refusals are counted by: the route, and the reason."""
+    """Key by which refusals are counted: route and reason."""
 
     route: str
     reason: Reason
 
 
 class Request(NamedTuple):
-    """One attempt of one call, as the modules of a daemon see it.
+    """One attempt of one call, independent of the protocol.
 
     Attributes:
         attempt: Identifier of this attempt; a retry is a new attempt.
         root: Identifier of the root request, the same at every hop and attempt.
-        service: Name of the service wanted.
+        service: Name of the called service.
         call: Name of the call of that service, from its resource, or "".
         method: HTTP method.
         path: Path and query at the backend server.
         importance: Declared importance.
-        deadline: Time of the event loop's clock after which no answer is wanted.
+        deadline: Time of the event loop's clock after which the caller no longer
+            waits for an answer.
         key: Idempotency key of non-idempotent work, or "" for idempotent work.
         repeatable: Whether it may be sent again after an unknown outcome.
-        budget: Retries that this attempt and all below it may cause, at most.
+        budget: Maximum number of retries that this attempt and its nested calls may
+            cause.
         caller: Name of the caller, for fairness.
-        via: Services passed so far, the entry's first.
+        via: Services along the call path, the one at the entry daemon first.
         headers: Pairs of header name and value for the backend server.
-        body: The whole body.
-        again: Whether an earlier attempt of the same request was handed to a
-            backend server, so that this one draws on the budget of repeats.
+        body: The complete body.
+        again: Whether an earlier attempt of the same request reached a backend
+            server, so that this attempt counts against the budget of repeats.
         due: Time of the event loop's clock by which the root request should be
-            answered, its objective; infinite where there is none.
-        of_repeat: Whether the run that makes this call is itself a repeat, so that
-            the call counts as one too.
+            answered to meet its objective; infinite if it has no objective.
+        of_repeat: Whether the attempt that makes this call is itself a repeat, so
+            that the call counts as a repeat too.
     """
 
     attempt: str
@@ -117,15 +119,15 @@
 
 
 class Load(NamedTuple):
-    """What an answer says of the load of the daemon that answers.
+    """Load of the answering daemon, reported with an answer.
 
     Attributes:
-        level: Admission level of the called side: a request whose rank is
-            lower would be refused there. 0 admits everything.
-        below: Highest admission level met further down on the same call.
-        in_service: Requests inside the backend server.
-        waiting: Requests that wait for a slot.
-        limit: Present limit on requests in service.
+        level: Admission level of the answering daemon, which refuses requests of a
+            lower rank. 0 admits everything.
+        below: Highest admission level further down the call graph on this call.
+        in_service: Number of requests being processed by the backend server.
+        waiting: Number of requests waiting for a slot.
+        limit: Current limit on requests in service.
     """
 
     level: float = 0.0
@@ -136,22 +138,23 @@
 
 
 class Answer(NamedTuple):
-    """The end of one attempt.
+    """Final answer to one attempt.
 
     Attributes:
-        attempt: The attempt that this answers; an answer to another is dropped.
-        outcome: What is known.
-        reason: Why, when it isn't COMPLETED.
+        attempt: Identifier of the answered attempt; an answer to any other attempt
+            is dropped.
+        outcome: Outcome of the attempt.
+        reason: Reason for an outcome other than COMPLETED.
         status: HTTP status for the caller.
         headers: Pairs of header name and value.
-        body: The whole body.
-        unused: Retries granted to the attempt that it did not cause.
-        retry_after: Seconds after which the caller may ask again; 0 for none.
-        deeper: Whether the refusal came from further down; the hops above
-            pass it up instead of retrying.
-        load: Load of the answering side.
-        offered: Whether a backend server was given the attempt, also where it
-            turned it down.
+        body: The complete body.
+        unused: Number of retries granted to the attempt but not spent.
+        retry_after: Seconds after which the caller may retry; 0 for no hint.
+        deeper: Whether the refusal came from further down the call graph; upstream
+            daemons then pass it on instead of retrying.
+        load: Load of the answering daemon.
+        offered: Whether the attempt reached a backend server, even if that refused
+            it.
     """
 
     attempt: str
@@ -168,26 +171,26 @@
 
     @property
     def is_server_error(self):
-        """Whether its status says that the backend server failed."""
+        """Whether its status reports a failure of the backend server."""
         return self.status >= FIRST_SERVER_ERROR
 
     @property
     def succeeded(self):
-        """Whether the backend server has done what was asked of it."""
+        """Whether the backend server processed the request without an error."""
         return self.outcome is Outcome.COMPLETED and not self.is_server_error
 
 
 class Endpoint(NamedTuple):
-    """A backend server as the other daemons know it.
+    """Backend server that other daemons can reach through the daemon beside it.
 
     Attributes:
         daemon: Identifier of the daemon beside it, new at every start.
         address: "host:port" of that daemon for calls between daemons.
-        service: Name of the service, "" while no backend server has announced.
+        service: Name of the service, "" while no backend server is announced.
         zone: Availability zone.
         region: Region.
-        slots: Requests that the backend server can work on at once.
-        leaving: Whether it takes no new work.
+        slots: Number of requests that the backend server processes concurrently.
+        leaving: Whether it accepts no new requests.
     """
 
     daemon: str
@@ -200,17 +203,17 @@
 
 
 def build_failure(request, outcome, reason, status=503, retry_after=0.0):
-    """Return the answer to an attempt that no backend server has answered.
+    """Return the `Answer` to an attempt that no backend server has answered.
 
-    What was not run has caused no retries and returns its whole budget; of
-    what is unknown nothing can be returned.
+    An attempt that has not run has caused no retries and returns its whole budget.
+    With an unknown outcome, retries may have been spent and none are returned.
 
     Args:
-        request: The attempt.
+        request: The attempt, a `Request`.
         outcome: NOT_RUN or UNKNOWN.
-        reason: Why.
+        reason: `Reason` of the failure.
         status: HTTP status.
-        retry_after: Seconds after which the caller may ask again.
+        retry_after: Seconds after which the caller may retry; 0 for no hint.
     """
     unused = request.budget if outcome is Outcome.NOT_RUN else 0
     return Answer(
@@ -230,18 +233,18 @@
 def new_identifier():
     """Return a new identifier for a request, an attempt or a daemon.
 
-    Random is what tells this process from others; within it a count is enough,
-    and asking the system for random bytes for each attempt costs more than the
-    rest of its bookkeeping.
+    A random prefix distinguishes the process from others; within the process a
+    counter is enough. Reading random bytes from the system for each attempt costs
+    more than the rest of its bookkeeping.
     """
     return f"{_PREFIX}{next(_COUNTER):016x}"
 
 
 def rank_request(request):
-    """Return the rank of a request: importance first, then a hash of its root.
+    """Return the rank of a request: its importance plus a hash of its root.
 
-    The hash is the same at every hop, so a deep graph sheds the same whole
-    requests everywhere instead of a few legs of each.
+    The hash is the same at every hop, so all services of a deep call graph shed the
+    same root requests, instead of each shedding calls of different ones.
 
     Returns:
         A float from 0 to 4, one unit wide for each importance.
@@ -250,10 +253,10 @@
 
 
 def hash_root(root):
-    """Spread root request identifiers evenly over 0 to 1.
+    """Return a hash of a root request's identifier, uniform from 0 up to 1.
 
-    The standard `hash` is salted for each process, which would make every
-    hop shed different requests.
+    The built-in `hash` is salted for each process, so every hop would shed
+    different requests.
     """
     digest = hashlib.blake2b(root.encode(), digest_size=HASH_BYTES).digest()
-    return int.from_bytes(digest, "big") / HASHES
+    return int.from_bytes(digest, "big") / HASH_RANGE
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -16,7 +16,7 @@
 from ..errors import InputErrors, UserError
 from ..http1.messages import HttpResponse
 from ..http1.server import Limits, Server
-from ..instance import Instance, Place
+from ..instance import Instance, Location
 from ..logservice import keyed
 from ..metrics import CONTENT_TYPE, Gauge, Metrics
 from . import configuration, dialect, followers, heartbeats, settings
@@ -89,7 +89,7 @@
         # What the store holds of calls.
         self._recorded = Topology()
         self.instance = Instance(
-            Place(str(given.daemons), given.zone, given.region),
+            Location(str(given.daemons), given.zone, given.region),
             given.backend,
             Dialect(
                 dialect.form_backend_request,
@@ -190,12 +190,12 @@
             self._watch_settings,
             instance.peers.keep,
             instance.exchange.keep,
-            instance.keep_levels,
-            instance.keep_relay,
-            instance.keep_graph,
+            instance.report_levels,
+            instance.relay_levels,
+            instance.report_topology,
             self._keep_graph_record,
-            instance.keep_load_lines,
-            instance.keep_sources,
+            instance.log_load,
+            instance.maintain_sources,
         )
 
     def _follow(self, topic, take, patience):
@@ -370,7 +370,7 @@
                 continue
             if due is None:
                 # One of the readers writes; the next ones if it doesn't.
-                due = loop.time() + instance.reader_place * GRAPH_TURN_SECONDS
+                due = loop.time() + instance.reader_rank * GRAPH_TURN_SECONDS
             if loop.time() < due:
                 continue
             record = keyed.Record(GRAPH_KEY, encode_facts(facts))
@@ -395,7 +395,7 @@
 
     async def _withdraw_record(self):
         """Take the own record out of the store, so that nobody starts with it."""
-        record = keyed.Record(self.instance.place.address, b"")
+        record = keyed.Record(self.instance.location.address, b"")
         try:
             await self._store.append(INSTANCES_TOPIC, record)
         except StoreError as error:
