--- a/test/platform/test_configuration.py
+++ b/test/platform/test_configuration.py
@@ -30,8 +30,8 @@
 }
 
 
-def parse(named, version="r7", limits=None):
-    document = {"version": version, "routes": named, "limits": limits}
+def parse(routes_by_name, version="r7", limits=None):
+    document = {"version": version, "routes": routes_by_name, "limits": limits}
     return configuration.parse_configuration(json.dumps(document).encode())
 
 
@@ -53,15 +53,15 @@
         )
         self.assertEqual(read.limits.idle_seconds, 12.0)
 
-    def test_places_of_all_that_cannot_be_read(self):
-        """A route that can't be read must not vanish: its callers would get 404."""
+    def test_every_invalid_route_is_reported(self):
+        """An invalid route must not be skipped: its callers would get 404."""
         bad = {**ROUTE, "kind": "sometimes"}
         with self.assertRaises(errors.InputErrors) as caught:
             parse({"one": bad, "two": {}, "three": SPLIT})
         places = [finding.place for finding in caught.exception.findings]
         self.assertEqual(places, ["routes.one", "routes.two"])
 
-    def test_no_configuration(self):
+    def test_data_that_is_no_configuration(self):
         for data in (b"", b"[]", b"{}", b"\xff", b'{"version": "7"}'):
             with self.assertRaises(ValueError):
                 configuration.parse_configuration(data)
--- a/test/platform/test_dialect.py
+++ b/test/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""Tests of headers and statuses of callers and backend servers."""
+"""Tests of the conversion of HTTP headers and statuses to typed messages."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 SAFE = Route("r", "h", "/a/", (WeightedService("s", 1),), repeatable=True)
 UNSAFE = SAFE._replace(repeatable=False)
-ASKED = HttpRequest(
+HTTP_REQUEST = HttpRequest(
     "POST",
     "/a/b?c=d",
     (
@@ -26,7 +26,7 @@
 
 
 def build(route=SAFE):
-    return dialect.build_request(ASKED, route, "s", "own", 9.0, 8.0)
+    return dialect.build_request(HTTP_REQUEST, route, "s", "own", 9.0, 8.0)
 
 
 def judge(status, *headers, route=SAFE):
@@ -36,20 +36,20 @@
 
 class RequestTest(unittest.TestCase):
     def test_arrival(self):
-        arrival = dialect.read_arrival(ASKED)
+        arrival = dialect.read_arrival(HTTP_REQUEST)
         self.assertEqual(arrival, dialect.Arrival("h.example", "/a/b", 0.9))
 
-    def test_no_request(self):
+    def test_invalid_request(self):
         for http in (
-            ASKED._replace(target="http://h/a/"),
-            ASKED._replace(headers=()),
-            ASKED._replace(headers=(("Host", "h"), ("X-Deadline-Ms", "soon"))),
+            HTTP_REQUEST._replace(target="http://h/a/"),
+            HTTP_REQUEST._replace(headers=()),
+            HTTP_REQUEST._replace(headers=(("Host", "h"), ("X-Deadline-Ms", "soon"))),
         ):
             with self.assertRaises(ValueError):
                 dialect.read_arrival(http)
 
-    def test_what_the_backend_server_gets(self):
-        """A caller forges the headers that only the system may set."""
+    def test_request_to_the_backend_server(self):
+        """A caller forges headers that only the daemon may set."""
         data = dialect.form_backend_request(build(), 0.75, "i-1").decode()
         head, _, body = data.partition("\r\n\r\n")
         lines = head.split("\r\n")
@@ -65,37 +65,37 @@
 
 
 class AnswerTest(unittest.TestCase):
-    def test_whole_answer_is_passed_on_unchanged(self):
+    def test_complete_answer_is_passed_on_unchanged(self):
         answer = judge(201, ("X-Response-Seal", "s"), ("Keep-Alive", "timeout=5"))
         self.assertEqual(answer.outcome, Outcome.COMPLETED)
         response = dialect.form_answer(answer, "q1")
         expected = HttpResponse(201, "Phrase", (("X-Response-Seal", "s"),), b"x")
         self.assertEqual(response, expected)
 
-    def test_turned_down(self):
+    def test_request_refused_by_the_backend_server(self):
         answer = judge(503, ("X-Not-Executed", "1"))
         self.assertEqual(
             (answer.outcome, answer.reason), (Outcome.NOT_RUN, Reason.SHED)
         )
         self.assertTrue(answer.offered)
 
-    def test_another_backend_server_has_the_address(self):
+    def test_another_backend_server_at_the_address(self):
         answer = judge(421, ("X-Instance-Id", "i-2"))
         self.assertEqual(answer.reason, Reason.WRONG_BACKEND)
         self.assertEqual(answer.outcome, Outcome.NOT_RUN)
 
-    def test_promise_that_was_not_given(self):
-        """A backend server runs a payout and answers 503 all the same.
+    def test_status_without_the_header_does_not_guarantee_that_nothing_ran(self):
+        """A backend server runs a payout but answers 503.
 
-        Passed on, the status says that the payout was not run; it is asked for
-        again and made twice.
+        If the status were passed on, the caller would conclude that the payout has
+        not run, send it again, and it would be paid twice.
         """
         answer = judge(503, ("X-Response-Seal", "s"), route=UNSAFE)
         self.assertEqual(answer.outcome, Outcome.UNKNOWN)
         self.assertEqual(dialect.form_answer(answer, "q1").status, 502)
 
     def test_success_without_signature(self):
-        """Something else than the backend server answers at its address."""
+        """Another server than the backend server answers at its address."""
         self.assertEqual(judge(200).outcome, Outcome.UNKNOWN)
 
     def test_answer_of_another_request(self):
@@ -104,13 +104,13 @@
         response = HttpResponse(200, "OK", (("X-Request-Id", "q1"),))
         self.assertTrue(dialect.belongs_to(build(), response))
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_has_a_retry_delay(self):
         answer = build_failure(build(), Outcome.NOT_RUN, Reason.LEVEL, retry_after=0.25)
         response = dialect.form_answer(answer, "q1")
         self.assertEqual(response.status, 503)
         self.assertEqual(find_header(response.headers, "retry-after"), "0.250")
 
-    def test_unknown_promises_nothing(self):
+    def test_unknown_outcome_has_no_status_that_guarantees_not_run(self):
         for reason, status in ((Reason.BROKEN, 502), (Reason.DEADLINE, 504)):
             answer = Answer("a", Outcome.UNKNOWN, reason)
             self.assertEqual(dialect.form_answer(answer, "q1").status, status)
--- a/test/platform/test_followers.py
+++ b/test/platform/test_followers.py
@@ -1,4 +1,4 @@
-"""Tests of what follows the store."""
+"""Tests of the task that follows a topic of the store."""
 
 import asyncio
 import unittest
@@ -10,8 +10,8 @@
 from whinwinch.platform.store import Outcome, Page, StoreError
 
 
-class Kept:
-    """Keeps the events written to it."""
+class RecordingLog:
+    """Event log that records the events written to it."""
 
     lost = 0
 
@@ -24,8 +24,8 @@
     sample = write
 
 
-class FailingStore:
-    """Answers what it is given, one after the other, then never again."""
+class ScriptedStore:
+    """Store that returns or raises the given answers in order, then never answers."""
 
     def __init__(self, *answers):
         self._answers = list(answers)
@@ -49,11 +49,11 @@
 
 class FollowTest(unittest.IsolatedAsyncioTestCase):
     async def follow(self, *answers):
-        self.kept, self.taken = Kept(), []
-        self.store = FailingStore(*answers)
-        events.install(self.kept)
+        self.log, self.applied = RecordingLog(), []
+        self.store = ScriptedStore(*answers)
+        events.install(self.log)
         self.addCleanup(events.install, events.Silence())
-        following = keyed.Following(keyed.Copy(self.taken.extend), 1.0)
+        following = keyed.Following(keyed.Copy(self.applied.extend), 1.0)
         task = asyncio.create_task(
             followers.follow_topic(
                 self.store,
@@ -68,21 +68,21 @@
                 await asyncio.sleep(0.01)
         task.cancel()
 
-    async def test_store_that_is_away_is_logged_once_each_way(self):
-        """The store falls silent for a while.
+    async def test_unavailable_store_is_logged_once_when_lost_and_regained(self):
+        """The store doesn't answer for a while.
 
-        Without these two lines nobody could tell afterwards why a change came late.
+        Without these two lines the log would not explain why a change was delayed.
         """
         error = StoreError(Outcome.UNKNOWN, "no answer in time")
         record = Record("config", b"{}")
         await self.follow(Page((record,), 7), error, error, Page((), 7))
-        lines = [event for kind, event in self.kept.written if kind == "dependency"]
+        lines = [event for kind, event in self.log.written if kind == "dependency"]
         self.assertEqual([line.state for line in lines], ["lost", "regained"])
         self.assertEqual(lines[0].problem, "no answer in time")
         self.assertGreater(lines[1].seconds, 0.0)
-        self.assertEqual(self.taken, [record])
+        self.assertEqual(self.applied, [record])
 
-    async def test_history_that_is_gone_is_read_anew(self):
+    async def test_newest_records_are_read_after_the_history_was_dropped(self):
         gone = StoreError(Outcome.GONE, "status 410")
         await self.follow(Page((), 7), gone, Page((), 9))
         self.assertEqual(
--- a/test/platform/test_heartbeats.py
+++ b/test/platform/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Tests of what backend servers say of themselves."""
+"""Tests of the parser of heartbeats."""
 
 import json
 import unittest
@@ -36,9 +36,9 @@
         self.assertEqual(read.warmup_left, 1.5)
 
     def test_heartbeat_of_another_writer(self):
-        """Somebody else writes: fields are missing, of another type or unknown.
+        """Another program sends heartbeats with missing or invalid fields.
 
-        It names no backend server to use.
+        They must not announce a backend server.
         """
         for changed in (
             {"slots": "81"},
@@ -61,6 +61,6 @@
         places = {finding.place for finding in caught.exception.findings}
         self.assertEqual(places, {"slots", "state"})
 
-    def test_start_in_a_leave(self):
+    def test_start_time_in_a_leave_request(self):
         self.assertEqual(heartbeats.parse_start(b""), 0)
         self.assertEqual(heartbeats.parse_start(b'{"born": 5}'), 5)
--- a/test/platform/test_records.py
+++ b/test/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of the records by which daemons introduce themselves."""
+"""Tests of the endpoint records by which daemons discover each other."""
 
 import json
 import unittest
@@ -16,7 +16,7 @@
         self.assertIsNone(node.decode_endpoint("h:1", b""))
 
     def test_record_of_another_writer(self):
-        """Another writer's record has other fields; no endpoint must come of it."""
+        """Another program writes records with other fields; they must be rejected."""
         fields = ENDPOINT._asdict()
         for value in (
             b"\xff",
--- a/test/platform/test_settings.py
+++ b/test/platform/test_settings.py
@@ -24,14 +24,14 @@
 
 class SettingsTest(unittest.TestCase):
     def test_read(self):
-        given = settings.parse_text(TEXT)
-        self.assertEqual(given.backend, Address("10.1.0.8", 8301))
-        self.assertEqual((given.drain, given.stop_grace), (2.0, 6.0))
-        self.assertEqual(given.metrics, 0)
+        parsed = settings.parse_text(TEXT)
+        self.assertEqual(parsed.backend, Address("10.1.0.8", 8301))
+        self.assertEqual((parsed.drain, parsed.stop_grace), (2.0, 6.0))
+        self.assertEqual(parsed.metrics, 0)
         ports = "network.internal_ports=7620,7635\n"
         self.assertEqual(settings.parse_text(TEXT + ports).metrics, 7620)
 
-    def test_all_that_is_wrong_is_reported_at_once(self):
+    def test_all_invalid_fields_are_reported_at_once(self):
         text = TEXT.replace("ready=10.1.0.8:8302", "ready=nowhere")
         text = text.replace("drain=2000ms", "drain=soon")
         text = text.replace("self_node.service=s1\n", "")
--- a/test/platform/test_store.py
+++ b/test/platform/test_store.py
@@ -1,10 +1,10 @@
-"""Tests of the client of the store, against the stand-in and its faults."""
+"""Tests of the client of the store, against an emulated store with faults."""
 
 import asyncio
 import unittest
 import unittest.mock
 
-from emulator import store as standin
+from emulator import store as emulated
 from whinwinch.logservice import keyed
 from whinwinch.platform import followers, store
 from whinwinch.settings import Address
@@ -13,11 +13,11 @@
 
 
 class Harness(unittest.IsolatedAsyncioTestCase):
-    """Starts the stand-in and a client of it."""
+    """Starts an emulated store and a client of it."""
 
     async def asyncSetUp(self):
-        self.standin = standin.Store()
-        port = await self.standin.listen()
+        self.emulated = emulated.Store()
+        port = await self.emulated.listen()
         self.store = store.Store(Address("127.0.0.1", port))
         self.addAsyncCleanup(self.end)
         patch = unittest.mock.patch.object(store, "CALL_SECONDS", 0.1)
@@ -26,11 +26,11 @@
 
     async def end(self):
         self.store.close()
-        self.standin.server.end_stop()
+        self.emulated.server.end_stop()
         await asyncio.sleep(0.01)
 
     def fault(self, **faults):
-        self.standin.faults = standin.Faults(**faults)
+        self.emulated.faults = emulated.Faults(**faults)
 
     async def find_outcome(self, call):
         with self.assertRaises(store.StoreError) as caught:
@@ -39,13 +39,13 @@
 
 
 class StoreTest(Harness):
-    async def test_newest_of_each_key_over_pages(self):
-        for number in range(2 * standin.PAGE_ITEMS):
-            self.standin.put(TOPIC, f"k{number % 700}", b"%d" % number)
+    async def test_newest_record_of_each_key_over_several_pages(self):
+        for number in range(2 * emulated.PAGE_ITEMS):
+            self.emulated.put(TOPIC, f"k{number % 700}", b"%d" % number)
         page = await self.store.read_newest(TOPIC)
         self.assertEqual(len(page.records), 700)
         self.assertIn(store.Record("k5", b"705", 705), page.records)
-        self.assertEqual(page.end, 2 * standin.PAGE_ITEMS)
+        self.assertEqual(page.end, 2 * emulated.PAGE_ITEMS)
 
     async def test_append_and_long_read(self):
         reading = asyncio.create_task(self.store.read_on(TOPIC, 0, 5.0))
@@ -54,7 +54,7 @@
         page = await reading
         self.assertEqual(page, store.Page((store.Record("k", b"v"),), 1))
 
-    async def test_nothing_new(self):
+    async def test_read_without_new_records(self):
         page = await self.store.read_on(TOPIC, 0, 0.01)
         self.assertEqual(page, store.Page((), 0))
 
@@ -67,15 +67,15 @@
         outcome = await self.find_outcome(self.store.read_newest(TOPIC))
         self.assertIs(outcome, store.Outcome.UNKNOWN)
         self.fault()
-        self.standin.put(TOPIC, "k", b"v")
-        self.standin.find(TOPIC).compact()
+        self.emulated.put(TOPIC, "k", b"v")
+        self.emulated.find(TOPIC).compact()
         outcome = await self.find_outcome(self.store.read_on(TOPIC, 0, 0.0))
         self.assertIs(outcome, store.Outcome.GONE)
 
     async def test_append_whose_answer_is_lost(self):
-        """An append takes effect a moment after its caller gave up on it.
+        """An append takes effect shortly after its call has timed out.
 
-        Taken for not done it would be a surprise; it is of unknown outcome.
+        Its outcome must be unknown: reported as not done, it would be wrong.
         """
         self.fault(lose=True, late=0.15)
         record = store.Record("k", b"v")
@@ -85,9 +85,9 @@
         self.assertEqual((await self.store.read_newest(TOPIC)).records, (record,))
 
     async def test_record_of_another_writer(self):
-        """Another writer leaves bytes that are no record of a keyed topic."""
-        self.standin.find(TOPIC).records.extend([b"", b"\x09k", b"\x01\xff1"])
-        self.standin.put(TOPIC, "k", b"v")
+        """Another program writes bytes that are no record of a keyed topic."""
+        self.emulated.find(TOPIC).records.extend([b"", b"\x09k", b"\x01\xff1"])
+        self.emulated.put(TOPIC, "k", b"v")
         page = await self.store.read_on(TOPIC, 0, 0.0)
         self.assertEqual(page, store.Page((store.Record("k", b"v", 3),), 4, 3))
 
@@ -95,14 +95,14 @@
 class FollowerTest(Harness):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.taken = []
+        self.applied = []
 
     async def follow(self):
         task = asyncio.create_task(
             followers.follow_topic(
                 self.store,
                 TOPIC,
-                keyed.Following(keyed.Copy(self.taken.extend), 1.0),
+                keyed.Following(keyed.Copy(self.applied.extend), 1.0),
                 lambda: True,
                 lambda topic, end, now: None,
                 0.2,
@@ -113,13 +113,13 @@
 
     async def wait_for(self, value):
         async with asyncio.timeout(10):
-            while not any(r.value == value for r in self.taken):
+            while not any(r.value == value for r in self.applied):
                 await asyncio.sleep(0.005)
 
     async def test_changes_arrive_through_every_fault(self):
-        """The store is down, turns callers away, falls silent, forgets.
+        """The store is down, refuses calls, doesn't answer, or has dropped its history.
 
-        After each of these a change made meanwhile has to arrive.
+        A change made during each of these faults has to arrive afterwards.
         """
         await self.follow()
         for number, faults in enumerate(
@@ -127,12 +127,12 @@
         ):
             self.fault(**faults)
             await asyncio.sleep(0.05)
-            self.standin.put(TOPIC, "k", b"%d" % number)
+            self.emulated.put(TOPIC, "k", b"%d" % number)
             self.fault()
             await self.wait_for(b"%d" % number)
         self.fault(refuse=503)
         await asyncio.sleep(0.25)
-        self.standin.put(TOPIC, "k", b"last")
-        self.standin.find(TOPIC).compact()
+        self.emulated.put(TOPIC, "k", b"last")
+        self.emulated.find(TOPIC).compact()
         self.fault()
         await self.wait_for(b"last")
--- a/whinwinch/platform/__init__.py
+++ b/whinwinch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform, translated into the product's own terms.
+"""Adapter between the users' platform and the daemon.
 
-All names of the platform's wire end in this package.
+Names of the platform's protocols and files are used only in this package.
 """
--- a/whinwinch/platform/__main__.py
+++ b/whinwinch/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon of one instance on the platform."""
+"""Entry point of the daemon of one instance on the platform."""
 
 import sys
 
@@ -12,7 +12,7 @@
 
 
 def main():
-    """Run until the process is told to stop; return the exit code."""
+    """Run the daemon until the process is signalled to stop; return the exit code."""
     logging.set_verbosity(logging.WARNING)
     events.install(events.Log(STANDARD_OUTPUT))
     loops.install_loop()
--- a/whinwinch/platform/dialect.py
+++ b/whinwinch/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Headers and statuses of callers and backend servers, read into typed messages."""
+"""Conversion between the platform's HTTP headers and statuses and typed messages."""
 
 import math
 from typing import NamedTuple
@@ -14,25 +14,25 @@
 from ..messages import Answer, Outcome, Reason, Request, build_failure, new_identifier
 
 REQUEST_ID = "X-Request-Id"
-# Milliseconds that are left; the name sounds like a point in time.
+# Remaining time in milliseconds, not a point in time as the name suggests.
 TIME_LEFT = "X-Deadline-Ms"
 EXPECTED_BACKEND = "X-Expected-Instance"
 CALLER_SERVICE = "X-Caller-Service"
-# Present on an answer: the backend server did not run the request.
+# Present on an answer if the backend server did not run the request.
 NOT_RUN = "x-not-executed"
-# The backend server's signature; only its own answers carry one.
+# Signature that only the answers of a backend server carry.
 SIGNATURE = "x-response-seal"
-# What the system sets itself, whatever was sent.
-_OWN_HEADERS = CONNECTION_HEADERS | {
+# Headers that the daemon sets; values sent by callers are dropped.
+_DAEMON_HEADERS = CONNECTION_HEADERS | {
     name.lower() for name in (TIME_LEFT, EXPECTED_BACKEND, CALLER_SERVICE)
 }
 _REQUEST_ID = REQUEST_ID.lower()
 _TIME_LEFT = TIME_LEFT.lower()
-# Statuses that promise that a request has not run and never will.
-_PROMISES = frozenset({408, 421, 429, 503})
+# Statuses that guarantee that a request has not run and never will.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _WRONG_BACKEND = 421
-# A caller that names no time waits this long, in seconds.
-LONGEST_SECONDS = 60.0
+# Seconds that a caller waits if its request has no deadline header.
+DEFAULT_TIMEOUT = 60.0
 
 _PHRASES = {
     400: "Bad Request",
@@ -44,12 +44,12 @@
 
 
 class Arrival(NamedTuple):
-    """What of an HTTP request decides its route and how long it may take.
+    """Attributes of an HTTP request that determine its route and deadline.
 
     Attributes:
         host: Host without a port, in lower case.
         path: Path without the query.
-        seconds: Seconds that the caller waits.
+        seconds: Seconds that the caller waits for the answer.
     """
 
     host: str
@@ -61,17 +61,17 @@
     """Return the `Arrival` of an `HttpRequest`.
 
     Raises:
-        ValueError: When it is no request that could be routed.
+        ValueError: When the target, the host or the time left is invalid.
     """
     if not http.target.startswith("/"):
-        raise ValueError("the target must be a path")
+        raise ValueError("the request target must be a path")
     host = find_header(http.headers, "host").partition(":")[0].lower()
     if not host:
-        raise ValueError("no host")
-    left = find_header(http.headers, _TIME_LEFT)
-    seconds = float(left) / 1000.0 if left else LONGEST_SECONDS
+        raise ValueError("the Host header is missing")
+    milliseconds = find_header(http.headers, _TIME_LEFT)
+    seconds = float(milliseconds) / 1000.0 if milliseconds else DEFAULT_TIMEOUT
     if not math.isfinite(seconds):
-        raise ValueError("the time left must be a number")
+        raise ValueError("the remaining milliseconds must be a finite number")
     return Arrival(host, http.target.partition("?")[0], seconds)
 
 
@@ -79,14 +79,14 @@
     """Return the `Request` of an `HttpRequest`.
 
     Args:
-        http: The request as it came.
-        route: `routes.Route`.
-        service: The service chosen.
-        caller_service: Service of the instance where the request began.
-        deadline: Time of the loop's clock.
-        due: When it should be answered, on the same clock.
+        http: The request as received.
+        route: `routes.Route` of the request.
+        service: Name of the service chosen from the route.
+        caller_service: Service of the instance at which the request entered.
+        deadline: Time of the loop's clock at which the caller stops waiting.
+        due: Time of the same clock by which the request should be answered.
     """
-    headers = drop_headers(http.headers, _OWN_HEADERS)
+    headers = drop_headers(http.headers, _DAEMON_HEADERS)
     return Request(
         attempt=new_identifier(),
         root=find_header(http.headers, _REQUEST_ID) or new_identifier(),
@@ -103,11 +103,17 @@
     )
 
 
-def form_backend_request(request, left, identity):
-    """Return the bytes of an attempt for the backend server of an identity."""
+def form_backend_request(request, seconds, identity):
+    """Return the bytes of the HTTP request that sends an attempt to a backend server.
+
+    Args:
+        request: The attempt, a `messages.Request`.
+        seconds: Seconds until its deadline.
+        identity: Identifier that the backend server has announced.
+    """
     headers = (
         *request.headers,
-        (TIME_LEFT, str(max(1, int(left * 1000)))),
+        (TIME_LEFT, str(max(1, int(seconds * 1000)))),
         (EXPECTED_BACKEND, identity),
     )
     return format_request(
@@ -116,22 +122,23 @@
 
 
 def belongs_to(request, response):
-    """Return whether an `HttpResponse` is the answer to a request.
+    """Return whether an `HttpResponse` answers a request.
 
-    An extra answer to an earlier request may come at the place of this one's.
+    A duplicate answer to an earlier request may arrive in place of the expected one.
     """
     echoed = find_header(response.headers, _REQUEST_ID)
     return not echoed or echoed == find_header(request.headers, _REQUEST_ID)
 
 
 def judge_backend_answer(request, response):
-    """Return the `Answer` that a backend server's `HttpResponse` is."""
+    """Return the `Answer` for the `HttpResponse` of a backend server."""
     if response.status == _WRONG_BACKEND:
         return _fail(request, Outcome.NOT_RUN, Reason.WRONG_BACKEND, 503)
     if find_header(response.headers, NOT_RUN):
         return _fail(request, Outcome.NOT_RUN, Reason.SHED, 503)
-    if response.status in _PROMISES and not request.repeatable:
-        # It doesn't say that it did not run; passed on, the status would.
+    if response.status in _NOT_RUN_STATUSES and not request.repeatable:
+        # Without the header, the request may have run. Passed on to the caller, the
+        # status would guarantee that it has not.
         return _fail(request, Outcome.UNKNOWN, Reason.BROKEN, 502)
     if response.status < 300 and not find_header(response.headers, SIGNATURE):
         return _fail(request, Outcome.UNKNOWN, Reason.BROKEN, 502)
@@ -150,7 +157,7 @@
 
     Args:
         answer: The `Answer`.
-        identifier: Identifier that the caller gave its request.
+        identifier: Identifier of the request, for the X-Request-Id header.
     """
     if answer.outcome is Outcome.COMPLETED:
         (_, phrase), *headers = answer.headers
@@ -162,13 +169,13 @@
 
 
 def refuse(status, reason, retry_after=0.0, identifier=""):
-    """Return an answer of the daemon's own.
+    """Return an `HttpResponse` that the daemon sends instead of a backend server.
 
     Args:
         status: Status code.
-        reason: `Reason`.
-        retry_after: Seconds after which the caller may come back; 0 for none.
-        identifier: Identifier that the caller gave its request.
+        reason: `Reason` of the refusal or failure.
+        retry_after: Seconds after which the caller may retry; 0 for no hint.
+        identifier: Identifier of the request, "" to leave the header out.
     """
     headers = [("Whinwinch-Reason", reason.value)]
     if identifier:
--- a/whinwinch/platform/followers.py
+++ b/whinwinch/platform/followers.py
@@ -1,4 +1,4 @@
-"""Tasks that follow the store: the operator's configuration, the other daemons."""
+"""Task that keeps the copy of a topic of the store current."""
 
 import asyncio
 import random
@@ -8,37 +8,41 @@
 from .. import events
 from .store import Outcome, StoreError
 
-# Pauses after a failed call: half as long again each time, with jitter, so that
-# hundreds of daemons don't come back together when the store does.
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 0.8
-# A connection may fall silent for good: a read is given up 0.8 s after its wait, and
-# peers hear nothing of this daemon meanwhile.
-WAIT_SECONDS = 0.9
-# Between two looks at whether the log has to be read here.
-TURN_SECONDS = 0.1
+# Seconds before a retry after the first failure, and the maximum. Each failure
+# increases the delay by half; with jitter, hundreds of daemons don't retry at the same
+# moment when the store recovers.
+INITIAL_BACKOFF = 0.1
+MAX_BACKOFF = 0.8
+# Seconds that a read waits for a new record by default. A connection may stall for
+# good: a read times out 0.8 s after its wait, and until then this daemon reports
+# nothing to its peers.
+READ_WAIT = 0.9
+# Seconds between two checks of whether this daemon has to read the log.
+READER_CHECK_INTERVAL = 0.1
 
 
 async def follow_topic(
-    store, topic, following, is_reader, note_read, wait=WAIT_SECONDS, gather=0.0
+    store, topic, following, is_reader, record_read, wait=READ_WAIT, batch_delay=0.0
 ):
-    """Keep the copy of a keyed topic current, for ever.
+    """Keep the copy of a keyed topic current until cancelled.
 
     Args:
         store: `store.Store`.
-        topic: Its name.
-        following: `keyed.Following` of it.
-        is_reader: Function that tells whether this daemon reads for the others.
-        note_read: Function that is told the topic, the end up to which it was read,
-            and when.
+        topic: Name of the topic.
+        following: `keyed.Following` of the topic.
+        is_reader: Function that returns whether this daemon reads the log for other
+            daemons.
+        record_read: Function called after each read with the topic, the end offset
+            and the time of the read.
         wait: Seconds that a read waits for a new record.
-        gather: Seconds before the next read after one that brought records.
+        batch_delay: Seconds between a read that returned records and the next one,
+            so that it returns several records at once.
     """
-    pause, lost, is_gone = FIRST_PAUSE, None, False
+    backoff, lost_since, is_gone = INITIAL_BACKOFF, None, False
     clock = asyncio.get_running_loop().time
     while True:
         if not following.must_read(is_reader(), clock()):
-            await asyncio.sleep(TURN_SECONDS * random.uniform(0.5, 1.5))
+            await asyncio.sleep(READER_CHECK_INTERVAL * random.uniform(0.5, 1.5))
             continue
         try:
             if is_gone or not following.copy.is_known:
@@ -51,26 +55,31 @@
         except StoreError as error:
             is_gone = error.outcome is Outcome.GONE
             if is_gone:
-                # Only the newest record of each key is left.
-                logging.info("history of %s is gone, reading the newest", topic)
+                # The store has kept only the newest record of each key.
+                logging.info(
+                    "history of topic %s was dropped, reading the newest records",
+                    topic,
+                )
                 continue
-            if lost is None:
-                _log_store(topic, "lost", problem=str(error))
-                lost = clock()
-            await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            pause = min(1.5 * pause, LONGEST_PAUSE)
+            if lost_since is None:
+                _log_store_state(topic, "lost", problem=str(error))
+                lost_since = clock()
+            await asyncio.sleep(backoff * random.uniform(0.5, 1.5))
+            backoff = min(1.5 * backoff, MAX_BACKOFF)
             continue
-        note_read(topic, page.end, clock())
-        pause, is_gone = FIRST_PAUSE, False
-        if lost is not None:
-            _log_store(topic, "regained", seconds=clock() - lost)
-        lost = None
+        record_read(topic, page.end, clock())
+        backoff, is_gone = INITIAL_BACKOFF, False
+        if lost_since is not None:
+            _log_store_state(topic, "regained", seconds=clock() - lost_since)
+        lost_since = None
         if page.skipped:
-            logging.warning("%d records of %s can't be read", page.skipped, topic)
-        if page.records and gather:
-            await asyncio.sleep(gather * random.uniform(0.5, 1.5))
+            logging.warning(
+                "skipped %d malformed records of topic %s", page.skipped, topic
+            )
+        if page.records and batch_delay:
+            await asyncio.sleep(batch_delay * random.uniform(0.5, 1.5))
 
 
-def _log_store(topic, state, **more):
+def _log_store_state(topic, state, **fields):
     name = f"store, topic {topic}"
-    events.write("dependency", events.Dependency(name, state, **more))
+    events.write("dependency", events.Dependency(name, state, **fields))
--- a/whinwinch/platform/heartbeats.py
+++ b/whinwinch/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself, read into an announcement."""
+"""Parser of a backend server's heartbeat into an announcement."""
 
 import json
 
@@ -10,19 +10,19 @@
 
 
 def parse_heartbeat(identity, data):
-    """Return the `Announcement` of a heartbeat's bytes.
+    """Return the `Announcement` parsed from the body of a heartbeat.
 
     Args:
-        identity: Identifier from the path.
-        data: The body.
+        identity: Identifier of the backend server, from the request path.
+        data: Body of the request.
 
     Raises:
-        InputErrors: With every field that is missing or of another type.
-        ValueError: When it isn't a JSON table.
+        InputErrors: With a finding for every missing or invalid field.
+        ValueError: When the body isn't a JSON object.
     """
     document = json.loads(data)
     if not isinstance(document, dict):
-        raise ValueError("a heartbeat must be a table")
+        raise ValueError("a heartbeat must be a JSON object")
     findings = []
 
     def read(name, parse):
@@ -34,8 +34,8 @@
 
     announcement = Announcement(
         identity=identity,
-        # `born` is the start of this incarnation; some never send it.
-        start_time_ms=read("born", _parse_started),
+        # `born` is the start of this incarnation; some backend servers don't send it.
+        start_time_ms=read("born", _parse_start_time),
         sequence=read("seq", _parse_count),
         service=read("service", _parse_text),
         address=read("address", _parse_text),
@@ -43,23 +43,28 @@
         state=read("state", _parse_state),
         warmup_left=read("warmup_left", lambda text: parse_duration(text or "0ms")),
     )
-    raise_findings("a heartbeat that can't be read", findings)
+    raise_findings("invalid heartbeat", findings)
     return announcement
 
 
 def parse_start(data):
-    """Return the start that the body of a leave names, 0 where it names none.
+    """Return the start of the incarnation, from the body of a leave request.
+
+    Returns:
+        The start in milliseconds, 0 if the body doesn't contain it.
 
     Raises:
-        ValueError: When there is a body that can't be read.
+        ValueError: When the body isn't JSON or the start is invalid.
     """
     if not data:
         return 0
     document = json.loads(data)
-    return _parse_started(document.get("born") if isinstance(document, dict) else None)
+    return _parse_start_time(
+        document.get("born") if isinstance(document, dict) else None
+    )
 
 
-def _parse_started(value):
+def _parse_start_time(value):
     if value is None:
         return 0
     return _parse_count(value)
@@ -67,13 +72,13 @@
 
 def _parse_count(value):
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ValueError(f"must be a whole number, but is {value!r}")
+        raise ValueError(f"must be a non-negative integer, but is {value!r}")
     return value
 
 
 def _parse_text(value):
     if not isinstance(value, str) or not value:
-        raise ValueError(f"must be a text, but is {value!r}")
+        raise ValueError(f"must be a non-empty string, but is {value!r}")
     return value
 
 
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -1,4 +1,4 @@
-"""The daemon on the platform: its addresses, its tasks, its signals."""
+"""Daemon of one instance on the platform: its servers, tasks and signal handlers."""
 
 import asyncio
 import functools
@@ -24,85 +24,97 @@
 
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
-# Topic in which daemons introduce themselves to those that never met them.
+# Topic of the endpoint records by which daemons discover each other.
 INSTANCES_TOPIC = "keyed.instances"
-# Key in that topic of what is known of calls; all others are addresses.
+# Key of the call topology in that topic; all other keys are addresses of daemons.
 GRAPH_KEY = "calls"
-# Between two looks at whether the store holds what is known of calls, and between two
-# readers' turns to write it.
-GRAPH_RECORD_SECONDS = 1.0
-GRAPH_TURN_SECONDS = 3.0
+# Seconds between two checks of whether the topology in the store is complete.
+TOPOLOGY_CHECK_INTERVAL = 1.0
+# Seconds for which each reader gives the reader of the next lower rank time to write
+# the topology.
+TOPOLOGY_WRITE_DELAY = 3.0
 READINESS_PATH = "/whinwinch/ready"
 METRICS_PATH = "/metrics"
 ANNOUNCEMENT_PREFIX = "/whinwinch/instances/"
-# A daemon whose peers have told nothing of the configuration for this long reads it
-# itself: it has to be in force within two seconds.
-CONFIGURATION_PATIENCE = 1.3
-# How long a read waits for other daemons' records: they tell most over their
-# connections, so a record may be late.
+# Seconds without a report from peers after which a daemon reads the configuration
+# itself. A new configuration has to be applied within two seconds.
+CONFIGURATION_READ_TIMEOUT = 1.3
+# Seconds that a read waits for records of other daemons, and that a daemon waits for
+# reports before it reads them itself. These may be long, since daemons report most
+# changes over their connections.
 INSTANCES_WAIT = 5.0
-INSTANCES_PATIENCE = 6.5
-# Daemons that start together write their records together; each would wake every
+INSTANCES_READ_TIMEOUT = 6.5
+# Seconds between a read that returned records and the next one. Daemons that start
+# together write their records at the same time, and each record would wake every
 # reader.
-INSTANCES_GATHER = 0.5
-RECORD_PAUSE = 0.4
-# The settings file may change without a signal.
-SETTINGS_SECONDS = 1.0
-ABSENT_RETRY_AFTER = 0.5
-# Before a task that a fault of ours ended starts anew.
-TASK_PAUSE = 0.5
+INSTANCES_BATCH_DELAY = 0.5
+# Seconds before another attempt to write the local daemon's record.
+RECORD_RETRY_DELAY = 0.4
+# Seconds between two checks of the settings file, which may change without a signal.
+SETTINGS_CHECK_INTERVAL = 1.0
+# Retry delay in seconds of a refusal before the configuration has been read.
+NOT_READY_RETRY_AFTER = 0.5
+# Seconds before a task that was ended by an unexpected error is restarted.
+TASK_RESTART_DELAY = 0.5
 
 
 class SettingsChange(NamedTuple):
-    """Event: the settings file was read again."""
+    """Event: the settings file was reloaded."""
 
     cause: str
     changed: str
 
 
 async def keep_running(work):
-    """Run a task for ever; one that a fault of ours ends starts anew.
+    """Run a task until cancelled; restart it when an unexpected error ends it.
 
-    A daemon that lost one would go on with the configuration of that moment, and
-    nobody would notice before the next change.
+    Without the restart, a daemon would for example keep serving with an old
+    configuration, and nobody would notice before the next change.
+
+    Args:
+        work: Coroutine function without arguments.
     """
     while True:
         try:
             await work()
         except Exception as error:
-            logging.exception("a task ended")
+            logging.exception("task ended by an unexpected error, restarting it")
             events.write("task-ended", events.Message(repr(error)))
-            await asyncio.sleep(TASK_PAUSE)
+            await asyncio.sleep(TASK_RESTART_DELAY)
 
 
 class Node:
     """One daemon on the platform.
 
     Args:
-        given: `settings.InstanceSettings`.
+        instance_settings: `settings.InstanceSettings`.
     """
 
-    def __init__(self, given):
-        self._settings = given
-        self._store = Store(given.store)
+    def __init__(self, instance_settings):
+        self._settings = instance_settings
+        self._store = Store(instance_settings.store)
         self._announcements = Announcements()
-        # What the store holds of calls.
-        self._recorded = Topology()
+        # The call topology in the store.
+        self._recorded_topology = Topology()
         self.instance = Instance(
-            Location(str(given.daemons), given.zone, given.region),
-            given.backend,
+            Location(
+                str(instance_settings.daemons),
+                instance_settings.zone,
+                instance_settings.region,
+            ),
+            instance_settings.backend,
             Dialect(
                 dialect.form_backend_request,
                 dialect.judge_backend_answer,
                 dialect.belongs_to,
             ),
-            given.repeats,
+            instance_settings.repeats,
         )
-        self._configurations = self._follow(
-            CONFIGURATION_TOPIC, self._take_configuration, CONFIGURATION_PATIENCE
+        self._configuration_following = self._follow(
+            CONFIGURATION_TOPIC, self._apply_configuration, CONFIGURATION_READ_TIMEOUT
         )
-        self._records = self._follow(
-            INSTANCES_TOPIC, self._take_instances, INSTANCES_PATIENCE
+        self._instances_following = self._follow(
+            INSTANCES_TOPIC, self._apply_instance_records, INSTANCES_READ_TIMEOUT
         )
         limits = Limits()
         self._callers = Server(self._answer_call, limits)
@@ -110,45 +122,46 @@
         self._control = Server(self._answer_announcement, limits)
         self._metrics_page = Server(self._answer_metrics, limits)
         self._metrics = Metrics(self._list_gauges, "route")
+        # Set when the local endpoint or its record may have changed.
         self._changed = asyncio.Event()
         self._stopping = asyncio.Event()
 
     async def run(self):
-        """Serve until the process is told to stop."""
+        """Serve until the process is signalled to stop."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(
-            signal.SIGHUP, functools.partial(self._read_settings, "signal")
+            signal.SIGHUP, functools.partial(self._reload_settings, "signal")
         )
         await self.listen()
         events.write("start", self._settings)
         await self.serve()
 
     async def listen(self):
-        """Open all addresses of the daemon."""
-        given = self._settings
-        await self.instance.listen(given.daemons)
-        await self._control.listen(*given.announcements)
-        await self._readiness.listen(*given.readiness)
-        if given.metrics:
-            await self._metrics_page.listen(given.daemons.host, given.metrics)
-        await self._callers.listen(*given.callers)
+        """Listen at all addresses of the daemon."""
+        current = self._settings
+        await self.instance.listen(current.daemons)
+        await self._control.listen(*current.announcements)
+        await self._readiness.listen(*current.readiness)
+        if current.metrics:
+            await self._metrics_page.listen(current.daemons.host, current.metrics)
+        await self._callers.listen(*current.callers)
 
     def stop(self):
-        """Begin a planned stop; `serve` returns when it is done."""
+        """Begin a planned stop; `serve` returns when it is complete."""
         self._stopping.set()
 
     def close(self):
-        """Drop all connections at once."""
-        pages = (self._control, self._readiness, self._metrics_page)
-        for server in (self._callers, *pages):
+        """Close all connections immediately."""
+        others = (self._control, self._readiness, self._metrics_page)
+        for server in (self._callers, *others):
             server.abort()
         self.instance.close()
         self._store.close()
 
     async def serve(self):
-        """Serve until told to stop."""
-        given, loop = self._settings, asyncio.get_running_loop()
+        """Run the daemon's tasks until `stop` is called, then stop as planned."""
+        initial, loop = self._settings, asyncio.get_running_loop()
         tasks = [loop.create_task(keep_running(work)) for work in self._list_work()]
         try:
             await self._stopping.wait()
@@ -160,19 +173,20 @@
         def leave():
             tasks.append(loop.create_task(self._withdraw_record()))
 
-        await self.instance.stop((self._callers,), given.stop_grace, leave)
+        await self.instance.stop((self._callers,), initial.stop_grace, leave)
         for task in tasks:
             task.cancel()
         self.close()
 
     def _list_work(self):
+        """Return the coroutine functions of the tasks that run until the stop."""
         store, instance = self._store, self.instance
         return (
             functools.partial(
                 followers.follow_topic,
                 store,
                 CONFIGURATION_TOPIC,
-                self._configurations,
+                self._configuration_following,
                 instance.is_reader,
                 instance.topics.note_read,
             ),
@@ -180,11 +194,11 @@
                 followers.follow_topic,
                 store,
                 INSTANCES_TOPIC,
-                self._records,
+                self._instances_following,
                 instance.is_reader,
                 instance.topics.note_read,
                 INSTANCES_WAIT,
-                INSTANCES_GATHER,
+                INSTANCES_BATCH_DELAY,
             ),
             self._keep_record,
             self._watch_settings,
@@ -193,22 +207,29 @@
             instance.report_levels,
             instance.relay_levels,
             instance.report_topology,
-            self._keep_graph_record,
+            self._keep_topology_record,
             instance.log_load,
             instance.maintain_sources,
         )
 
-    def _follow(self, topic, take, patience):
-        """Return the `keyed.Following` of a topic, which peers are told of."""
-        following = keyed.Following(keyed.Copy(take), patience)
+    def _follow(self, topic, apply_records, read_timeout):
+        """Return the `keyed.Following` of a topic and share the topic with peers.
+
+        Args:
+            topic: Name of the topic.
+            apply_records: Function that applies the new records of the topic.
+            read_timeout: Seconds without a report from peers after which this daemon
+                reads the topic itself.
+        """
+        following = keyed.Following(keyed.Copy(apply_records), read_timeout)
         self.instance.topics.add(topic, following)
         return following
 
     async def _answer_call(self, http, sender):
-        """Answer a request of a caller or of the own backend server."""
+        """Answer a request of a caller or of the local backend server."""
         instance = self.instance
         if not instance.table.version:
-            return dialect.refuse(503, messages.Reason.NOT_READY, ABSENT_RETRY_AFTER)
+            return dialect.refuse(503, messages.Reason.NOT_READY, NOT_READY_RETRY_AFTER)
         try:
             arrival = dialect.read_arrival(http)
         except ValueError:
@@ -250,22 +271,24 @@
         now = asyncio.get_running_loop().time()
         calls = self._store.calls.items()
         return gauges.list_gauges(self.instance, now) + [
-            Gauge("store_calls_total", count, gauges.build_labels(outcome=known.value))
-            for known, count in calls
+            Gauge(
+                "store_calls_total", count, gauges.build_labels(outcome=outcome.value)
+            )
+            for outcome, count in calls
         ]
 
     async def _answer_announcement(self, http, sender):
-        """Take a heartbeat of the own backend server, or its leave."""
+        """Apply a heartbeat or a leave request of the local backend server."""
         path = urlsplit(http.target).path
         identity = path.removeprefix(ANNOUNCEMENT_PREFIX)
         if identity == path or not identity or "/" in identity:
             return HttpResponse(404, "Not Found")
         try:
             if http.method == "PUT":
-                self._take_heartbeat(heartbeats.parse_heartbeat(identity, http.body))
+                self._apply_heartbeat(heartbeats.parse_heartbeat(identity, http.body))
             elif http.method == "DELETE":
-                started = heartbeats.parse_start(http.body)
-                self._announcements.apply_leave(identity, started)
+                start_time_ms = heartbeats.parse_start(http.body)
+                self._announcements.apply_leave(identity, start_time_ms)
                 self._install_backend()
             else:
                 return HttpResponse(405, "Method Not Allowed")
@@ -274,15 +297,17 @@
             return HttpResponse(400, "Bad Request")
         return HttpResponse(200, "OK", (("Content-Type", "application/json"),), b"{}")
 
-    def _take_heartbeat(self, announcement):
-        own = self._settings
-        if announcement.service != own.service:
-            raise ValueError(f"of service {announcement.service}, not {own.service}")
-        obstacle = self._announcements.apply(announcement)
-        if obstacle:
+    def _apply_heartbeat(self, announcement):
+        current = self._settings
+        if announcement.service != current.service:
+            raise ValueError(
+                f"service is {announcement.service}, must be {current.service}"
+            )
+        problem = self._announcements.apply(announcement)
+        if problem:
             events.write(
                 "heartbeat-passed-over",
-                events.Message(f"{announcement.identity}: {obstacle}"),
+                events.Message(f"{announcement.identity}: {problem}"),
             )
         self._install_backend()
 
@@ -301,22 +326,22 @@
             )
         self._changed.set()
 
-    def _take_configuration(self, records):
+    def _apply_configuration(self, records):
         for record in records:
             if record.key != CONFIGURATION_KEY or not record.value:
                 continue
             try:
-                read = configuration.parse_configuration(record.value)
+                parsed = configuration.parse_configuration(record.value)
             except (InputErrors, ValueError) as error:
                 events.write("configuration-unread", events.Message(str(error)))
                 continue
-            if self.instance.install_table(read.table):
-                self._callers.limits = read.limits
+            if self.instance.install_table(parsed.table):
+                self._callers.limits = parsed.limits
 
-    def _take_instances(self, records):
+    def _apply_instance_records(self, records):
         for record in records:
             if record.key == GRAPH_KEY:
-                self._take_graph(record.value)
+                self._apply_topology(record.value)
                 continue
             try:
                 endpoint = decode_endpoint(record.key, record.value)
@@ -327,158 +352,172 @@
         self._changed.set()
 
     async def _keep_record(self):
-        """Keep the own record in the store in line with the backend server."""
+        """Keep the local daemon's record in the store up to date until cancelled."""
         instance = self.instance
         while True:
             await self._changed.wait()
             self._changed.clear()
-            wanted = instance.endpoint
-            held = instance.directory.find_recorded(wanted.address)
-            if not self._records.copy.is_known or not wanted.service or wanted == held:
+            current = instance.endpoint
+            recorded = instance.directory.find_recorded(current.address)
+            if (
+                not self._instances_following.copy.is_known
+                or not current.service
+                or current == recorded
+            ):
                 continue
-            record = keyed.Record(wanted.address, encode_endpoint(wanted))
+            record = keyed.Record(current.address, encode_endpoint(current))
             try:
                 await self._store.append(INSTANCES_TOPIC, record)
-                instance.directory.apply_record(wanted.address, wanted)
+                instance.directory.apply_record(current.address, current)
             except StoreError as error:
                 events.write("record-not-written", events.Message(str(error)))
                 if error.outcome is not Outcome.DONE:
-                    await asyncio.sleep(RECORD_PAUSE)
+                    await asyncio.sleep(RECORD_RETRY_DELAY)
                     self._changed.set()
 
-    def _take_graph(self, value):
+    def _apply_topology(self, value):
         try:
-            facts = decode_facts(value)
+            topology = decode_topology(value)
         except ValueError as error:
             events.write("record-unread", events.Message(f"{GRAPH_KEY}: {error}"))
             return
-        self._recorded = facts
-        self.instance.graph.merge_topology(facts)
+        self._recorded_topology = topology
+        self.instance.graph.merge_topology(topology)
 
-    async def _keep_graph_record(self):
-        """As a reader keep what is known of calls in the store.
+    async def _keep_topology_record(self):
+        """Write the call topology to the store while this daemon is a reader.
 
-        When all daemons lose power together, they know it again as they start.
+        If all daemons lose power together, they read the topology when they restart.
         """
         instance, loop = self.instance, asyncio.get_running_loop()
         due = None
         while True:
-            await asyncio.sleep(GRAPH_RECORD_SECONDS)
-            facts = self._find_unrecorded()
-            if not instance.is_reader() or facts is None:
+            await asyncio.sleep(TOPOLOGY_CHECK_INTERVAL)
+            topology = self._find_unrecorded_topology()
+            if not instance.is_reader() or topology is None:
                 due = None
                 continue
             if due is None:
-                # One of the readers writes; the next ones if it doesn't.
-                due = loop.time() + instance.reader_rank * GRAPH_TURN_SECONDS
+                # The first reader writes; each further one only if those before it
+                # have not.
+                due = loop.time() + instance.reader_rank * TOPOLOGY_WRITE_DELAY
             if loop.time() < due:
                 continue
-            record = keyed.Record(GRAPH_KEY, encode_facts(facts))
+            record = keyed.Record(GRAPH_KEY, encode_topology(topology))
             try:
                 await self._store.append(INSTANCES_TOPIC, record)
-                self._recorded = facts
+                self._recorded_topology = topology
             except StoreError as error:
                 events.write("record-not-written", events.Message(str(error)))
 
-    def _find_unrecorded(self):
-        """Return the `Topology` of present routes, or None if the store has it."""
-        if not self._records.copy.is_known:
+    def _find_unrecorded_topology(self):
+        """Return the `Topology` of the present routes, None if the store has it."""
+        if not self._instances_following.copy.is_known:
             return None
         known = self.instance.graph.export_topology()
         routes = {route.name for route in self.instance.table.routes}
         entries = tuple(name for name in known.entries if name in routes)
         calls = tuple(edge for edge in known.calls if routes.issuperset(edge))
-        is_recorded = set(entries) <= set(self._recorded.entries)
-        if is_recorded and set(calls) <= set(self._recorded.calls):
+        is_recorded = set(entries) <= set(self._recorded_topology.entries)
+        if is_recorded and set(calls) <= set(self._recorded_topology.calls):
             return None
         return Topology(entries, calls)
 
     async def _withdraw_record(self):
-        """Take the own record out of the store, so that nobody starts with it."""
+        """Withdraw the local daemon's record, so that no starting daemon reads it."""
         record = keyed.Record(self.instance.location.address, b"")
         try:
             await self._store.append(INSTANCES_TOPIC, record)
         except StoreError as error:
             events.write("record-not-withdrawn", events.Message(str(error)))
 
-    def _read_settings(self, cause):
+    def _reload_settings(self, cause):
+        """Reload the settings file, and log which settings have changed.
+
+        Args:
+            cause: "signal" or "change", for the log.
+        """
         try:
-            given = settings.read_file()
+            reloaded = settings.read_file()
         except (InputErrors, UserError) as error:
             events.write("settings-unread", events.Message(str(error)))
             return
-        if given == self._settings and cause != "signal":
+        if reloaded == self._settings and cause != "signal":
             return
         changed = [
             name
-            for name in given._fields
-            if getattr(given, name) != getattr(self._settings, name)
+            for name in reloaded._fields
+            if getattr(reloaded, name) != getattr(self._settings, name)
         ]
         events.write("reload", SettingsChange(cause, ", ".join(changed)))
-        self._settings = given
+        self._settings = reloaded
 
     async def _watch_settings(self):
         while True:
-            await asyncio.sleep(SETTINGS_SECONDS)
-            self._read_settings("change")
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL)
+            self._reload_settings("change")
 
 
 def encode_endpoint(endpoint):
-    """Return the value of an endpoint's record."""
+    """Return the value of the record of a `messages.Endpoint`."""
     return json.dumps(endpoint._asdict()).encode()
 
 
 def decode_endpoint(address, value):
-    """Return the endpoint of a record's value, None where it was withdrawn.
+    """Return the `messages.Endpoint` of a record's value, None if it was withdrawn.
+
+    Args:
+        address: Key of the record.
+        value: Value of the record.
 
     Raises:
-        ValueError: When it is no record of a daemon.
+        ValueError: When the value isn't the record of the daemon at the address.
     """
     if not value:
         return None
     fields = json.loads(value)
     if not isinstance(fields, dict):
-        raise ValueError("must be a table")
+        raise ValueError("must be a JSON object")
     for name, kind in messages.Endpoint.__annotations__.items():
         if type(fields.get(name)) is not kind:
             raise ValueError(f"{name} must be of type {kind.__name__}")
     endpoint = messages.Endpoint(*(fields[name] for name in messages.Endpoint._fields))
     if endpoint.address != address or endpoint.daemon != address:
-        raise ValueError("speaks of another address")
+        raise ValueError("address and daemon must equal the record's key")
     return endpoint
 
 
-def encode_facts(facts):
-    """Return the value of the record of what is known of calls."""
-    return json.dumps(facts._asdict()).encode()
+def encode_topology(topology):
+    """Return the value of the record of a call `Topology`."""
+    return json.dumps(topology._asdict()).encode()
 
 
-def decode_facts(value):
-    """Return the `Topology` of a record's value.
+def decode_topology(value):
+    """Return the call `Topology` of a record's value.
 
     Raises:
-        ValueError: When it is no such record.
+        ValueError: When the value isn't the record of a topology.
     """
     fields = json.loads(value)
     if not isinstance(fields, dict):
-        raise ValueError("must be a table")
+        raise ValueError("must be a JSON object")
     entries, calls = fields.get("entries"), fields.get("calls")
     if not isinstance(entries, list) or not isinstance(calls, list):
         raise ValueError("entries and calls must be lists")
     for names in (entries, *calls):
         if not isinstance(names, list) or not all(isinstance(n, str) for n in names):
-            raise ValueError("must hold names of routes")
+            raise ValueError("entries and calls must contain names of routes")
     if any(len(names) != len(Edge._fields) for names in calls):
-        raise ValueError("a call has a parent and a child")
+        raise ValueError("each call must consist of a parent and a child")
     return Topology(tuple(entries), tuple(Edge(*names) for names in calls))
 
 
 def run():
     """Run the daemon of this instance; return the exit code."""
-    given = settings.read_file()
-    asyncio.run(_run(given))
+    instance_settings = settings.read_file()
+    asyncio.run(_run(instance_settings))
     return 0
 
 
-async def _run(given):
-    await Node(given).run()
+async def _run(instance_settings):
+    await Node(instance_settings).run()
--- a/whinwinch/platform/settings.py
+++ b/whinwinch/platform/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, read into typed settings.
+"""Parser of the platform's settings file.
 
-Lines are ``a.b=value``. Fields that are not known here are passed over; all that
-are missing or wrong are reported together.
+Lines have the form ``a.b=value``. Unknown fields are ignored; all missing or invalid
+fields are reported together.
 """
 
 import os
@@ -12,7 +12,7 @@
 from ..errors import Finding, UserError, raise_findings
 from ..repeats import RepeatLimits
 from ..settings import Address
-from .values import parse_duration, parse_first_port, parse_place
+from .values import parse_address, parse_duration, parse_first_port
 
 # Environment variable that holds the path of the settings file.
 PATH_VARIABLE = "WHINWINCH_BOOT"
@@ -23,19 +23,19 @@
 
     Attributes:
         instance: Name of the instance.
-        zone: Its availability zone.
-        region: Its region.
+        zone: Availability zone of the instance.
+        region: Region of the instance.
         service: Service of the backend server beside the daemon.
         backend: Address of that backend server.
-        callers: Where callers and the backend server place their requests.
-        daemons: Where other daemons place theirs.
-        readiness: Where the platform asks whether the daemon takes requests.
-        announcements: Where the backend server announces itself.
-        metrics: Port of the metrics page, at the address of `daemons`; 0 for none.
+        callers: Address for requests of callers and of the backend server.
+        daemons: Address for calls of other daemons.
+        readiness: Address of the readiness probe.
+        announcements: Address for heartbeats of the backend server.
+        metrics: Port of the metrics page, on the host of `daemons`; 0 for none.
         store: Address of the platform's store.
-        repeats: Repeats that operators allow, a `repeats.RepeatLimits`.
-        drain: Time after which a leaving backend server gets nothing more.
-        stop_grace: Time from the signal to stop until the process is killed.
+        repeats: `repeats.RepeatLimits` of all services.
+        drain: Time after which a leaving backend server receives no more requests.
+        stop_grace: Time from the stop signal until the process is killed.
     """
 
     instance: str
@@ -55,7 +55,14 @@
 
 
 class _Field(NamedTuple):
-    """A field of the file: its name there, here, and how it is read."""
+    """Field of the settings file.
+
+    Attributes:
+        name: Name in the file.
+        attribute: Name of the attribute that holds the value.
+        parse: Function that parses the text of the value.
+        default: Text used if the field is missing, None if it is required.
+    """
 
     name: str
     attribute: str
@@ -68,14 +75,14 @@
     _Field("self_node.zone", "zone", str),
     _Field("self_node.region", "region", str, ""),
     _Field("self_node.service", "service", str),
-    _Field("self_node.app_addr", "backend", parse_place),
-    _Field("network.listen.outbound", "callers", parse_place),
-    _Field("network.listen.inbound", "daemons", parse_place),
-    _Field("network.listen.ready", "readiness", parse_place),
-    _Field("network.listen.control", "announcements", parse_place),
-    # The first port that the platform leaves to the daemon's own use.
+    _Field("self_node.app_addr", "backend", parse_address),
+    _Field("network.listen.outbound", "callers", parse_address),
+    _Field("network.listen.inbound", "daemons", parse_address),
+    _Field("network.listen.ready", "readiness", parse_address),
+    _Field("network.listen.control", "announcements", parse_address),
+    # The first of the ports that the platform reserves for the daemon.
     _Field("network.internal_ports", "metrics", parse_first_port, "0"),
-    _Field("platform.platform.address", "store", parse_place),
+    _Field("platform.platform.address", "store", parse_address),
     _Field("terms.bounds.retry_budget_ratio", "ratio", float, "0.1"),
     _Field("terms.bounds.budget_slack", "slack", float, "0"),
     _Field("terms.bounds.budget_window", "window", parse_duration, "10s"),
@@ -85,34 +92,34 @@
 
 
 def read_file(environment=os.environ):
-    """Read the settings file that the environment names.
+    """Return the `InstanceSettings` of the file that `PATH_VARIABLE` names.
 
     Raises:
-        UserError: When there is none or it can't be read.
-        InputErrors: With every field that is missing or wrong.
+        UserError: When the variable isn't set or the file can't be read.
+        InputErrors: With a finding for every missing or invalid field.
     """
     path = environment.get(PATH_VARIABLE)
     if not path:
-        raise UserError(f"{PATH_VARIABLE} must name the settings file")
+        raise UserError(f"{PATH_VARIABLE} must be set to the path of the settings file")
     try:
         text = pathlib.Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise UserError(f"the settings file can't be read: {error}") from error
+        raise UserError(f"can't read the settings file: {error}") from error
     return parse_text(text)
 
 
 def parse_text(text):
-    """Return the `InstanceSettings` of a file's text.
+    """Return the `InstanceSettings` parsed from a file's text.
 
     Raises:
-        InputErrors: With every field that is missing or wrong.
+        InputErrors: With a finding for every missing or invalid field.
     """
-    given = dict(
+    texts = dict(
         line.strip().split("=", 1) for line in text.splitlines() if "=" in line
     )
     values, findings = {}, []
     for field in _FIELDS:
-        value = given.get(field.name) or field.default
+        value = texts.get(field.name) or field.default
         if value is None:
             findings.append(Finding(field.name, "is missing"))
             continue
@@ -120,6 +127,6 @@
             values[field.attribute] = field.parse(value)
         except ValueError as error:
             findings.append(Finding(field.name, str(error)))
-    raise_findings("wrong settings", findings)
+    raise_findings("invalid settings", findings)
     repeats = RepeatLimits(*(values.pop(name) for name in RepeatLimits._fields))
     return InstanceSettings(**values, repeats=repeats)
--- a/whinwinch/platform/store.py
+++ b/whinwinch/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store."""
+"""Client of the platform's store."""
 
 import asyncio
 import base64
@@ -12,19 +12,22 @@
 from ..http1.messages import HttpRequest, format_request
 from ..logservice.keyed import Record
 
-# An answer takes some milliseconds; the store may be fifty times slower.
+# Timeout of a call in seconds. An answer takes some milliseconds; the store may be
+# fifty times slower.
 CALL_SECONDS = 1.5
-# A read's answer beyond its wait. Together with the longest wait it says how late a
-# connection that fell silent is given up, and each second of the wait saves calls.
-READ_SECONDS = 0.8
-# The largest page of records, and of answers.
-MOST_BYTES = 8 << 20
+# Seconds that a read's answer may take beyond the read's wait. Together with the
+# longest wait this is the time until a stalled connection is dropped; a longer wait
+# needs fewer calls.
+READ_MARGIN = 0.8
+# Maximum size of an answer.
+MAX_ANSWER_BYTES = 8 << 20
+# Two offsets that precede the records of a page.
 _HEAD = struct.Struct(">QQ")
 _LENGTH = struct.Struct(">I")
 
 
 class Outcome(enum.Enum):
-    """What is known of a call to the store."""
+    """Outcome of a call to the store, as far as the client can determine it."""
 
     DONE = "done"
     NOT_DONE = "not-done"
@@ -34,10 +37,10 @@
 
 
 class StoreError(Exception):
-    """A call that was not answered with what was asked for.
+    """Failed call to the store.
 
     Attributes:
-        outcome: `Outcome`.
+        outcome: `Outcome` of the call.
     """
 
     def __init__(self, outcome, problem):
@@ -46,12 +49,12 @@
 
 
 class Page(NamedTuple):
-    """Records of a keyed topic.
+    """Consecutive records of a keyed topic.
 
     Attributes:
-        records: The `Record` tuples, in their order.
-        end: Offset behind the last of them.
-        skipped: Records that could not be read.
+        records: The `Record` tuples in the order of the topic.
+        end: Offset after the last record.
+        skipped: Number of malformed records, which are not in `records`.
     """
 
     records: tuple[Record, ...]
@@ -60,15 +63,15 @@
 
 
 class Store:
-    """The platform's store.
+    """Client of the platform's store.
 
     Args:
-        address: `settings.Address` of it.
+        address: `settings.Address` of the store.
     """
 
     def __init__(self, address):
         self._host = str(address)
-        self._pool = client.Pool(address.host, address.port, MOST_BYTES)
+        self._pool = client.Pool(address.host, address.port, MAX_ANSWER_BYTES)
         self.calls = {outcome: 0 for outcome in Outcome}
 
     async def read_newest(self, topic):
@@ -90,23 +93,23 @@
                     skipped += 1
                 else:
                     records.append(record)
-            # Pages are no snapshot: what changes meanwhile is read again from
-            # the end that the first of them told.
+            # The pages are no consistent snapshot: changes made in the meantime are
+            # read again, starting from the end offset of the first page.
             end = answer["end_offset"] if end is None else end
             if not answer.get("has_more") or not items:
                 return Page(tuple(records), end, skipped)
             after = items[-1]["key"]
 
     async def read_on(self, topic, offset, wait):
-        """Return the `Page` from an offset, after a wait where there is none yet.
+        """Return the `Page` of the records from an offset on.
 
         Args:
             topic: Name of a keyed topic.
-            offset: First offset wanted.
-            wait: Seconds to wait for a record.
+            offset: Offset of the first record to return.
+            wait: Seconds to wait for a record if there is none yet.
 
         Raises:
-            StoreError: GONE when the records were dropped.
+            StoreError: When the read failed; GONE when the records were dropped.
         """
         query = {
             "topic": topic,
@@ -114,7 +117,7 @@
             "from": offset,
             "wait_ms": int(wait * 1000),
         }
-        seconds = wait + READ_SECONDS
+        seconds = wait + READ_MARGIN
         body = await self._call("GET", "log-read", query, seconds=seconds)
         records, skipped, count = [], 0, 0
         for data in _split_records(body):
@@ -130,7 +133,8 @@
         """Append a record to a keyed topic.
 
         Raises:
-            StoreError: UNKNOWN when it may have been appended, or still be.
+            StoreError: When the append failed; UNKNOWN when the record may have been
+                or may still be appended.
         """
         key = record.key.encode()
         data = bytes([len(key)]) + key + record.value
@@ -138,7 +142,7 @@
         await self._call("POST", "log-append", {"topic": topic, "part": 0}, body)
 
     def close(self):
-        """Close the connections."""
+        """Close all connections to the store."""
         self._pool.close()
 
     async def _call(self, method, name, query, body=b"", seconds=CALL_SECONDS):
@@ -180,26 +184,30 @@
             if isinstance(answer["items"], list) and answer["end_offset"] >= 0:
                 return answer
         except (KeyError, TypeError, ValueError) as error:
-            raise StoreError(Outcome.UNKNOWN, f"an unreadable page: {error}") from error
-        raise StoreError(Outcome.UNKNOWN, "an unreadable page")
+            raise StoreError(Outcome.UNKNOWN, f"malformed page: {error}") from error
+        raise StoreError(Outcome.UNKNOWN, "malformed page")
 
 
 def _split_records(body):
-    """Yield the records behind the two offsets of a page."""
+    """Yield the bytes of each record of a page, after the two offsets at its head.
+
+    Raises:
+        StoreError: UNKNOWN when the page is truncated.
+    """
     if len(body) < _HEAD.size:
-        raise StoreError(Outcome.UNKNOWN, "a page that is cut short")
-    place = _HEAD.size
-    while place < len(body):
-        (length,) = _LENGTH.unpack_from(body, place)
-        place += _LENGTH.size
-        if place + length > len(body):
-            raise StoreError(Outcome.UNKNOWN, "a page that is cut short")
-        yield body[place : place + length]
-        place += length
+        raise StoreError(Outcome.UNKNOWN, "truncated page")
+    position = _HEAD.size
+    while position < len(body):
+        (length,) = _LENGTH.unpack_from(body, position)
+        position += _LENGTH.size
+        if position + length > len(body):
+            raise StoreError(Outcome.UNKNOWN, "truncated page")
+        yield body[position : position + length]
+        position += length
 
 
 def _decode_record(data, offset):
-    """Return the `Record` of a keyed topic's bytes, None when unreadable."""
+    """Return the `Record` of a record's bytes in a keyed topic, None if malformed."""
     if not data or len(data) < 1 + data[0]:
         return None
     try:
@@ -210,7 +218,7 @@
 
 
 def _decode_item(item):
-    """Return the `Record` of an item of a page, None when unreadable."""
+    """Return the `Record` of an item of a JSON page, None if malformed."""
     try:
         value = base64.b64decode(item["value"] or "")
         return Record(str(item["key"]), value, int(item["offset"]))
