--- a/test/callers/test_answers.py
+++ b/test/callers/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests for the HTTP form of answers."""
+"""Tests of the conversion of answers to HTTP responses."""
 
 import json
 import unittest
@@ -30,7 +30,7 @@
         names = [name.lower() for name, _ in formed.headers]
         self.assertEqual(len(set(names)), len(names))
 
-    def test_a_refusal_says_that_nothing_ran_and_when_to_come_back(self):
+    def test_a_refusal_has_the_outcome_not_run_and_a_retry_delay(self):
         answer = Answer("a", Outcome.NOT_RUN, Reason.LEVEL, 503, retry_after=1.2)
         formed = form(answer)
         self.assertEqual(503, formed.status)
@@ -38,7 +38,7 @@
         self.assertEqual("1200", find_header(formed.headers, "whinwinch-retry-after"))
         self.assertEqual("not-run", json.loads(formed.body)["error"]["outcome"])
 
-    def test_what_cannot_be_read_is_told_as_not_run(self):
+    def test_a_malformed_request_has_the_outcome_not_run(self):
         for status in (400, 408, 413, 431):
             formed = answers.form_unreadable(status)
             self.assertEqual(status, formed.status)
@@ -46,7 +46,7 @@
             self.assertEqual("not-run", error["outcome"])
             self.assertEqual(1, len(error["findings"]))
 
-    def test_a_status_without_a_name(self):
+    def test_a_status_without_a_reason_phrase(self):
         self.assertEqual("Unknown", answers.find_phrase(599))
 
 
--- a/test/callers/test_headers.py
+++ b/test/callers/test_headers.py
@@ -1,4 +1,4 @@
-"""Tests for reading a call's headers."""
+"""Tests of the parser of a call's headers."""
 
 import unittest
 
@@ -14,8 +14,10 @@
 
 
 class ParseCallTest(unittest.TestCase):
-    def parse(self, **given):
-        pairs = [(name.replace("_", "-"), value) for name, value in given.items()]
+    def parse(self, **headers_by_name):
+        pairs = [
+            (name.replace("_", "-"), value) for name, value in headers_by_name.items()
+        ]
         return parse("/services/catalog/books/7", *pairs)
 
     def test_path_and_query_reach_the_backend_server(self):
@@ -69,9 +71,9 @@
                 self.assertEqual("path", finding.place)
 
     def test_two_keys(self):
-        """A proxy in front reads the first key, this daemon the second.
+        """A proxy in front of the daemon uses the first key, the daemon the second.
 
-        The payout would be claimed under one key and be asked for under another.
+        The payout would be claimed with one key and requested with the other.
         """
         parsed = parse(
             "/services/royalties/payouts",
@@ -80,7 +82,7 @@
         )
         self.assertEqual(["Idempotency-Key"], [each.place for each in parsed.findings])
 
-    def test_a_name_with_an_underscore_stands_for_nothing(self):
+    def test_a_header_name_with_an_underscore_is_dropped(self):
         parsed = parse("/services/catalog/x", ("Idempotency_Key", "a"), ("Accept", "b"))
         self.assertEqual("", parsed.incoming.key)
         self.assertEqual((("Accept", "b"),), parsed.incoming.headers)
@@ -91,10 +93,10 @@
             with self.subTest(text):
                 self.assertTrue(self.parse(Whinwinch_Timeout=text).findings)
 
-    def test_a_nameless_caller_is_known_by_its_address(self):
+    def test_a_caller_without_a_name_is_identified_by_its_address(self):
         self.assertEqual(ADDRESS, self.parse().incoming.caller)
 
-    def test_headers_of_this_hop_are_not_handed_on(self):
+    def test_hop_by_hop_headers_are_not_passed_on(self):
         incoming = self.parse(
             Connection="close, X-Own",
             X_Own="1",
--- a/whinwinch/__main__.py
+++ b/whinwinch/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: ``python -m whinwinch``."""
+"""Entry point of the command line: ``python -m whinwinch``."""
 
 import sys
 
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon, put together."""
+"""Construction of the components of a daemon."""
 
 import asyncio
 import math
@@ -31,11 +31,30 @@
 from .operators import access
 from .operators.store import Store
 
-LOG_POOL = 4
+# Number of connections to the log.
+LOG_POOL_SIZE = 4
 
 
 class Parts(NamedTuple):
-    """The parts of a running daemon."""
+    """Components of a running daemon.
+
+    Attributes:
+        settings: `settings.Settings`.
+        loop: Event loop of the daemon.
+        own: Identifier of this daemon, new at every start.
+        log: Client of the platform's log.
+        members: Member list of the mesh.
+        store: Store of the configuration.
+        relay: Relay of configuration records to and from peers.
+        in_flight: Counter of requests and calls in flight.
+        metrics: Metrics of the daemon.
+        running: Attempts at the local backend server.
+        ledger: Retry budgets.
+        levels: Admission levels learned from answers.
+        peers: Connections to other daemons.
+        control: Backend server, lifecycle and claims.
+        trace_hooks: Functions that write the trace.
+    """
 
     settings: object
     loop: asyncio.AbstractEventLoop
@@ -55,7 +74,12 @@
 
 
 def build_parts(settings, loop):
-    """Return the parts of a daemon."""
+    """Return the `Parts` of a daemon.
+
+    Args:
+        settings: `settings.Settings`.
+        loop: The running event loop.
+    """
     own = messages.new_identifier()
     endpoint = messages.Endpoint(
         daemon=own,
@@ -63,7 +87,7 @@
         zone=settings.zone,
         region=settings.region,
     )
-    log = LogClient(settings.log, LOG_POOL)
+    log = LogClient(settings.log, LOG_POOL_SIZE)
     members = membership.Membership(
         endpoint,
         random.Random(),
@@ -122,12 +146,12 @@
 
 
 def ignore_news(address, news):
-    """Take nothing from other daemons' greetings; gossip tells all of it."""
+    """Ignore the News frames of other daemons, which gossip duplicates."""
     del address, news
 
 
 def build_trace_hooks(settings, own):
-    """Return the functions that write the trace, if there is to be one."""
+    """Return the `recording.TraceHooks` of the trace, no-ops if tracing is off."""
     if not settings.trace:
         return recording.NO_TRACE_HOOKS
     return recording.build_trace_hooks(
@@ -136,32 +160,36 @@
 
 
 def build_relay(store, trace_hooks):
-    """Return the relay that hands configuration records on to peers."""
-    kept = relay.RecordStore(find_covered)
+    """Return the relay that forwards configuration records to peers."""
+    records = relay.RecordStore(find_covered)
 
     def apply_record(record):
         before = store.version
-        taken = take_record(record)
+        was_applied = apply_to_store(record)
         if trace_hooks is not recording.NO_TRACE_HOOKS and store.version != before:
             trace_hooks.configured(store.version, store.encode_resources())
-        return taken
+        return was_applied
 
-    def take_record(record):
+    def apply_to_store(record):
         applied = store.apply_record(record.offset, record.time, record.data)
         if applied.ground is not configuration.ApplyReason.GAP:
-            kept.add(record)
+            records.add(record)
             return True
         if not store.install_snapshot(record.data):
             return False
-        kept.add(record)
+        records.add(record)
         return True
 
-    return relay.Relay(apply_record, kept.records_from, lambda: store.offset)
+    return relay.Relay(apply_record, records.records_from, lambda: store.offset)
 
 
 def find_covered(data):
-    """Return the offset that a snapshot record covers, None for another one."""
-    # Changes are many and snapshots few; the text tells them apart cheaply.
+    """Return the offset up to which a snapshot record covers, None for other records.
+
+    Args:
+        data: Bytes of the record.
+    """
+    # Most records are changes, so decoding is skipped by a cheap search for the key.
     if b'"snapshot"' not in data[:64]:
         return None
     decoded = configuration.decode_record(data)
@@ -169,7 +197,7 @@
 
 
 def build_gatekeeper(parts):
-    """Return the gatekeeper of the own backend server."""
+    """Return the gatekeeper of the local backend server."""
     return Gatekeeper(
         clock=parts.loop.time,
         claim=parts.control.claim,
@@ -185,7 +213,7 @@
 
 
 def build_router(parts, gatekeeper):
-    """Return the router of calls from callers and the own backend server."""
+    """Return the router of calls from callers and the local backend server."""
 
     async def call(endpoint, request):
         return await parts.peers.find(endpoint.address).call(request)
@@ -213,7 +241,7 @@
 
 
 def build_call_recorder(parts):
-    """Return the function that counts the end of a call."""
+    """Return the function that counts completed calls in the metrics."""
 
     def record_call(incoming, routed, seconds):
         answer = routed.answer
--- a/whinwinch/background.py
+++ b/whinwinch/background.py
@@ -1,10 +1,10 @@
-"""Work that goes on whatever becomes of whoever asked for it."""
+"""Background tasks that run to completion even if their starter is cancelled."""
 
 import asyncio
 
 
 class Background:
-    """Tasks that are kept until they end; the event loop alone forgets them."""
+    """Set of running tasks, kept because the event loop has only weak references."""
 
     def __init__(self):
         self._tasks = set()
@@ -17,5 +17,5 @@
         return task
 
     async def run_to_end(self, work):
-        """Return what a coroutine returns; it ends also where this is cancelled."""
+        """Return a coroutine's result; it continues if the wait is cancelled."""
         return await asyncio.shield(self.start(work))
--- a/whinwinch/callers/__init__.py
+++ b/whinwinch/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Serving of callers over HTTP."""
+"""HTTP interface for callers."""
--- a/whinwinch/callers/answers.py
+++ b/whinwinch/callers/answers.py
@@ -1,4 +1,4 @@
-"""HTTP form of answers: the outcome is always stated."""
+"""Conversion of answers to HTTP responses, which always state the outcome."""
 
 import http
 import json
@@ -9,14 +9,15 @@
 from ..messages import Outcome, Reason
 
 JSON_TYPE = ("Content-Type", "application/json")
-# What a request that can't be read as HTTP is told, by status.
-UNREADABLE = {
-    400: Finding("request", "is no whole HTTP/1.1 request"),
-    408: Finding("head", "did not come in time"),
+# Finding for a malformed HTTP request, by status.
+MALFORMED_FINDINGS = {
+    400: Finding("request", "is not a complete HTTP/1.1 request"),
+    408: Finding("head", "did not arrive in time"),
     413: Finding("body", "is too large"),
     431: Finding("head", "is too large"),
 }
 
+# HTTP status by reason; for other reasons the status of the answer is used.
 STATUSES = {
     Reason.SHARE: 429,
     Reason.DEADLINE: 504,
@@ -27,37 +28,42 @@
     Reason.TOO_DEEP: 508,
 }
 EXPLANATIONS = {
-    Reason.LEVEL: "the service, or one that it calls, is overloaded",
-    Reason.QUEUE: "too much work is waiting",
-    Reason.SHARE: "this caller or key has more than its share",
-    Reason.DEADLINE: "the time that the caller allows is not enough",
+    Reason.LEVEL: "the service or a service that it calls is overloaded",
+    Reason.QUEUE: "too many requests are waiting",
+    Reason.SHARE: "this caller or key exceeds its fair share",
+    Reason.DEADLINE: "the request can't be completed within its timeout",
     Reason.LEAVING: "this instance is leaving",
     Reason.NOT_READY: "this daemon has not read the configuration yet, so it can't "
-    "tell which calls must not be repeated",
-    Reason.NO_ENDPOINT: "no endpoint of this service is known",
+    "determine which calls must not be repeated",
+    Reason.NO_ENDPOINT: "this service has no known endpoint",
     Reason.NOT_SENT: "the endpoint could not be reached",
-    Reason.BROKEN: "the connection broke before the whole answer had come",
-    Reason.ABANDONED: "this attempt had been given up",
+    Reason.BROKEN: "the connection was closed before the complete answer arrived",
+    Reason.ABANDONED: "this attempt was abandoned",
     Reason.LOG_DOWN: "the platform's log does not answer, so non-idempotent "
     "work can't be claimed",
-    Reason.KEY_CLAIMED: "work with this key has been claimed before",
-    Reason.KEY_AGE: "the key is too old to be claimed; the work may have run while "
-    "it was good",
-    Reason.KEY_MISSING: "this call must not be repeated: it needs a good key",
-    Reason.TOO_DEEP: "the call has passed too many services; do they call in a ring?",
-    Reason.BAD_REQUEST: "the request is wrong",
-    Reason.DEEPER: "a service further down refused",
+    Reason.KEY_CLAIMED: "this idempotency key has already been claimed",
+    Reason.KEY_AGE: "the idempotency key is too old to be claimed; the request may "
+    "have run while the key was valid",
+    Reason.KEY_MISSING: "this call must not be repeated and requires a valid "
+    "idempotency key",
+    Reason.TOO_DEEP: "the call path has too many services; check for a call cycle",
+    Reason.BAD_REQUEST: "the request is invalid",
+    Reason.DEEPER: "a service further down the call graph refused the request",
 }
-# Refusals that the caller can mend in its request.
+# Findings by reason, for refusals that the caller can resolve by changing its request.
 FINDINGS = {
     Reason.KEY_MISSING: Finding(
-        "Idempotency-Key", "must be a UUID of version 7 that was made lately"
+        "Idempotency-Key", "must be a recently generated UUID of version 7"
     )
 }
 
 
 def build_headers(routed):
-    """Return the header pairs that every answer to a call carries."""
+    """Return the header pairs that every answer to a call has.
+
+    Args:
+        routed: `router.CallResult`.
+    """
     answer = routed.answer
     headers = [
         ("Whinwinch-Outcome", answer.outcome.value),
@@ -74,14 +80,14 @@
 
 
 def choose_status(answer):
-    """Return the HTTP status of an answer."""
+    """Return the HTTP status of an `Answer`."""
     if answer.outcome is Outcome.COMPLETED or answer.reason is Reason.BAD_REQUEST:
         return answer.status
     return STATUSES.get(answer.reason, answer.status)
 
 
 def build_body(answer):
-    """Return the body of an answer that doesn't come from a backend server."""
+    """Return the JSON body of an `Answer` that doesn't come from a backend server."""
     error = {
         "outcome": answer.outcome.value,
         "reason": answer.reason.value,
@@ -93,7 +99,7 @@
 
 
 def build_findings_body(findings):
-    """Return the body that lists everything wrong with a request."""
+    """Return the JSON body that lists all findings about an invalid request."""
     error = {
         "outcome": Outcome.NOT_RUN.value,
         "reason": Reason.BAD_REQUEST.value,
@@ -104,12 +110,12 @@
 
 
 def encode_json(document):
-    """Return a JSON document as bytes with a line break at its end."""
+    """Return a document as JSON bytes that end with a newline."""
     return (json.dumps(document) + "\n").encode()
 
 
 def find_phrase(status):
-    """Return the text behind a status code, for example "Not Found"."""
+    """Return the reason phrase of an HTTP status, for example "Not Found"."""
     try:
         return http.HTTPStatus(status).phrase
     except ValueError:
@@ -117,7 +123,7 @@
 
 
 def form_answer(routed):
-    """Return the `HttpResponse` for the end of a call."""
+    """Return the `HttpResponse` for a `router.CallResult`."""
     answer = routed.answer
     pairs = build_headers(routed)
     if answer.outcome is Outcome.COMPLETED:
@@ -131,7 +137,7 @@
 
 
 def form_findings(status, findings, identifier=""):
-    """Return the `HttpResponse` that lists everything wrong with a request."""
+    """Return the `HttpResponse` that lists all findings about an invalid request."""
     pairs = [
         ("X-Request-Id", identifier),
         ("Whinwinch-Outcome", Outcome.NOT_RUN.value),
@@ -142,8 +148,8 @@
 
 
 def form_unreadable(status):
-    """Return the `HttpResponse` to what can't be read as a request."""
-    return form_findings(status, [UNREADABLE[status]])
+    """Return the `HttpResponse` to a malformed HTTP request."""
+    return form_findings(status, [MALFORMED_FINDINGS[status]])
 
 
 def form_text(status, text):
--- a/whinwinch/callers/headers.py
+++ b/whinwinch/callers/headers.py
@@ -1,4 +1,4 @@
-"""Reading of a call's HTTP headers, with all findings at once."""
+"""Parser of a call's HTTP target and headers, which reports all findings at once."""
 
 import re
 from typing import NamedTuple
@@ -16,8 +16,9 @@
 LONGEST_TIMEOUT = 3_600_000
 LONGEST_KEY = 128
 
-# RFC 9218 counts urgency from 0, the most urgent, to 7; 3 is its default.
-URGENCIES = (
+# Importance by urgency. RFC 9218 defines urgency from 0, the most urgent, to 7; 3 is
+# its default.
+IMPORTANCES = (
     Importance.CRITICAL,
     Importance.CRITICAL,
     Importance.HIGH,
@@ -27,8 +28,8 @@
     Importance.LOW,
     Importance.LOW,
 )
-# Read here; a backend server is told its own by the gatekeeper.
-OWN_HEADERS = frozenset(
+# Headers that aren't passed on; the gatekeeper sets them for the backend server.
+DAEMON_HEADERS = frozenset(
     {
         "host",
         "idempotency-key",
@@ -37,8 +38,9 @@
         "x-request-id",
     }
 )
-# Sent twice with two values, one reader would take the first and the next one
-# the second: the key that is claimed would not be the key that is run.
+# Headers that must not be repeated. With two values, one program could use the first
+# and the next one the second, so that the claimed key would differ from the key of the
+# request that runs.
 SINGLE_HEADERS = (
     "Host",
     "Idempotency-Key",
@@ -49,38 +51,38 @@
 
 
 class Parsed(NamedTuple):
-    """A call as read, and what is wrong with it."""
+    """Parsed call and the findings about it."""
 
     incoming: IncomingCall
     findings: tuple[Finding, ...]
 
 
 def parse_call(http, address):
-    """Read a call from an HTTP request.
+    """Parse a call from an HTTP request.
 
     Args:
-        http: The whole `http1.messages.HttpRequest`.
-        address: IP number that it came from.
+        http: The complete `http1.messages.HttpRequest`.
+        address: IP address of the caller.
 
     Returns:
-        `Parsed`; with findings, nothing of it may be run.
+        `Parsed`; a call with findings must not be routed.
     """
     findings = []
     service, path = _split_path(http.target, findings)
-    given = http.headers
+    pairs = http.headers
     incoming = IncomingCall(
-        identifier=_read_identifier(find_header(given, "x-request-id"), findings),
+        identifier=_read_identifier(find_header(pairs, "x-request-id"), findings),
         service=service,
         method=http.method,
         path=path,
-        importance=_read_importance(find_header(given, "priority"), findings),
-        timeout=_read_timeout(find_header(given, "whinwinch-timeout"), findings),
-        key=_read_key(find_header(given, "idempotency-key"), findings),
-        caller=_read_caller(find_header(given, "whinwinch-caller"), address, findings),
-        headers=_collect_headers(given),
+        importance=_read_importance(find_header(pairs, "priority"), findings),
+        timeout=_read_timeout(find_header(pairs, "whinwinch-timeout"), findings),
+        key=_read_key(find_header(pairs, "idempotency-key"), findings),
+        caller=_read_caller(find_header(pairs, "whinwinch-caller"), address, findings),
+        headers=_collect_headers(pairs),
         body=http.body,
     )
-    findings.extend(_find_repeated(given))
+    findings.extend(_find_repeated(pairs))
     return Parsed(incoming, tuple(findings))
 
 
@@ -89,7 +91,10 @@
     service, _, rest = path.removeprefix(PREFIX).partition("/")
     if not path.startswith(PREFIX) or not SERVICE.match(service):
         findings.append(
-            Finding("path", "must be /services/SERVICE/PATH; letters, digits, -")
+            Finding(
+                "path",
+                "must be /services/SERVICE/PATH, with a service name of a-z 0-9 -",
+            )
         )
     return service, f"/{rest}{mark}{query}" if query else f"/{rest}"
 
@@ -97,7 +102,9 @@
 def _read_identifier(text, findings):
     if text and not IDENTIFIER.match(text):
         findings.append(
-            Finding("X-Request-Id", "must be 1 to 128 of A-Z a-z 0-9 . _ : -")
+            Finding(
+                "X-Request-Id", "must be 1 to 128 characters of A-Z a-z 0-9 . _ : -"
+            )
         )
         return ""
     return text
@@ -106,9 +113,9 @@
 def _read_importance(text, findings):
     if not text:
         return None
-    found = URGENCY.search(text)
-    if found:
-        return URGENCIES[int(found.group(1))]
+    match = URGENCY.search(text)
+    if match:
+        return IMPORTANCES[int(match.group(1))]
     if re.search(r"(?:^|,)\s*u\s*=", text):
         findings.append(Finding("Priority", "u must be 0 to 7, for example u=1"))
     return None
@@ -119,7 +126,7 @@
         return None
     if not text.isascii() or not text.isdigit() or not 0 < int(text[:9]):
         findings.append(
-            Finding("Whinwinch-Timeout", "must be whole milliseconds above 0")
+            Finding("Whinwinch-Timeout", "must be a positive integer of milliseconds")
         )
         return None
     if len(text) > 7 or int(text) > LONGEST_TIMEOUT:
@@ -130,8 +137,8 @@
     return int(text) / 1000
 
 
-def _read_key(given, findings):
-    text = given.strip('"')
+def _read_key(quoted, findings):
+    text = quoted.strip('"')
     if len(text) > LONGEST_KEY:
         findings.append(
             Finding("Idempotency-Key", f"must have at most {LONGEST_KEY} characters")
@@ -144,25 +151,25 @@
         findings.append(
             Finding("Whinwinch-Caller", "must have at most 64 printable characters")
         )
-    # A caller without a name is told apart by its address, so that one of them
-    # can't take the share of all the nameless ones.
+    # A caller without a name is identified by its address, so that one of them can't
+    # use up the fair share of all callers without a name.
     return text or address
 
 
-def _collect_headers(given):
+def _collect_headers(pairs):
     """Return the headers for the backend server.
 
-    Names with an underscore are dropped: many servers can't tell them from those
-    with a dash, so that one could stand in for the other unseen.
+    Names with an underscore are dropped: many servers don't distinguish them from
+    names with a dash, so a caller could use them to replace a header unnoticed.
     """
     return tuple(
-        pair for pair in drop_headers(given, OWN_HEADERS) if "_" not in pair[0]
+        pair for pair in drop_headers(pairs, DAEMON_HEADERS) if "_" not in pair[0]
     )
 
 
-def _find_repeated(given):
-    """Yield a finding for each header that must come once and comes again."""
-    names = [name.lower() for name, _ in given]
+def _find_repeated(pairs):
+    """Yield a finding for each repeated header of `SINGLE_HEADERS`."""
+    names = [name.lower() for name, _ in pairs]
     for name in SINGLE_HEADERS:
         if names.count(name.lower()) > 1:
-            yield Finding(name, "must come only once")
+            yield Finding(name, "must not be repeated")
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -1,4 +1,4 @@
-"""State of a daemon: backend server, lifecycle, claims."""
+"""Control of a daemon: announcement of its backend server, lifecycle and claims."""
 
 import asyncio
 
@@ -10,11 +10,12 @@
 from .logservice import claimer
 from .logservice.client import LogUnavailable
 
+# Seconds between two ticks, at which leases expire and the lifecycle advances.
 TICK_INTERVAL = 0.25
 
 
 class Control:
-    """What the daemon beside a backend server knows of it and of itself.
+    """State of a daemon and of the local backend server.
 
     Args:
         loop: The event loop.
@@ -23,9 +24,9 @@
         membership: `membership.Membership`.
         log: `logservice.client.LogClient`.
         in_flight: `inflight.InFlightCounter`.
-        tick: Called at every tick with the loop's time.
-        count_claim: Called with the verdict on each claim, as text.
-        trace_hooks: `recording.TraceHooks` for a trace.
+        tick: Function called at every tick with the loop's time.
+        count_claim: Function called with the verdict on each claim, as text.
+        trace_hooks: `recording.TraceHooks`.
     """
 
     def __init__(
@@ -55,26 +56,28 @@
         self._claimer_tasks = set()
         self._install = None
         self._wake = None
-        self._let_go = None
+        self._release_callers = None
         self.stopped = asyncio.Event()
 
-    def connect(self, install, wake, let_go):
-        """Say who is told of changes.
+    def connect(self, install, wake, release_callers):
+        """Set the functions that are called on changes.
 
         Args:
-            install: Takes the new `Announcement` or None: the gatekeeper.
-            wake: Lets gossip tell the news at once instead of with its next
-                probe, so that callers needn't be refused by who leaves.
-            let_go: Lets callers open their next connection elsewhere, once this
-                daemon leaves.
+            install: Called with the new `Announcement` of the backend server, or
+                None; installs it in the gatekeeper.
+            wake: Makes gossip send updates immediately instead of with its next
+                probe, so that peers stop sending calls which a leaving daemon would
+                refuse.
+            release_callers: Makes callers open their next connection to another
+                daemon when this one leaves.
         """
         self._install = install
         self._wake = wake
-        self._let_go = let_go
+        self._release_callers = release_callers
 
     @property
     def announcement(self):
-        """The present announcement, or None."""
+        """The current `Announcement` of the backend server, or None."""
         return self._registry.announcement
 
     @property
@@ -83,26 +86,28 @@
         return self._lifecycle.phase
 
     def admits(self, direction):
-        """Return whether work of a `lifecycle.Direction` is taken."""
+        """Return whether requests of a `lifecycle.Direction` are accepted."""
         return lifecycle.admits(self._lifecycle, direction)
 
     async def claim(self, request):
-        """Return the log's verdict on a claim."""
-        task = self._find_claimer(request.service)
-        verdict = await task.claim(request.key, request.attempt, request.deadline)
+        """Claim the key of a request; return the verdict from the log."""
+        service_claimer = self._find_claimer(request.service)
+        verdict = await service_claimer.claim(
+            request.key, request.attempt, request.deadline
+        )
         self._count_claim(verdict.verdict.value)
         return verdict
 
     def note_end(self, request, answer):
-        """Note in the log how claimed work ended."""
-        task = self._find_claimer(request.service)
+        """Record the end of a claimed request in the log."""
+        service_claimer = self._find_claimer(request.service)
         if answer.outcome is messages.Outcome.NOT_RUN:
-            task.release(request.key, request.attempt)
+            service_claimer.release(request.key, request.attempt)
         elif answer.outcome is messages.Outcome.COMPLETED:
-            task.note_done(request.key, request.attempt, answer.status)
+            service_claimer.note_done(request.key, request.attempt, answer.status)
 
     def begin_leaving(self):
-        """Take no new work, finish what is in flight, then stop."""
+        """Refuse new requests, finish those in flight, then stop."""
         if self.phase is not Phase.SERVING:
             return
         now = self._loop.time()
@@ -114,11 +119,11 @@
         )
         logging.info("lifecycle phase=leaving until=%.3f", self._lifecycle.until)
         self._trace_hooks.phase(self.phase)
-        self._let_go()
+        self._release_callers()
         self._publish_membership(now)
 
     async def run(self):
-        """Do at every tick what is due, until the daemon has stopped."""
+        """Advance the daemon's state at every tick until the daemon has stopped."""
         while self.phase is not Phase.STOPPED:
             now = self._loop.time()
             self._expire_announcement(now)
@@ -138,7 +143,7 @@
             self._trace_hooks.phase(self.phase)
 
     def announce(self, announcement):
-        """Take an announcement of the backend server."""
+        """Apply an `Announcement` of the backend server."""
         if not self._registry.announce(announcement, self._loop.time()):
             return
         self._lifecycle = lifecycle.set_backend_leaving(self._lifecycle, False)
@@ -152,15 +157,15 @@
         self._publish_membership(self._loop.time())
 
     def withdraw(self):
-        """Take that the backend server drains: no new work, but it ends its own."""
+        """Drain the backend server: it gets no new requests but finishes its own."""
         if not self._registry.withdraw():
             return
-        logging.info("backend withdrawn")
+        logging.info("backend withdrawn, draining")
         self._lifecycle = lifecycle.set_backend_leaving(self._lifecycle, True)
         self._publish_membership(self._loop.time())
 
     def _expire_announcement(self, now):
-        """Forget a backend server that has stopped announcing itself."""
+        """Remove the backend server if its lease has expired."""
         if self._registry.expire(now):
             logging.warning("backend lease expired")
             self._install(None)
@@ -176,10 +181,10 @@
         self._wake()
 
     def _find_claimer(self, service):
-        """Return the claimer of a service; it costs nothing before its first claim."""
-        found = self._claimers.get(service)
-        if found is None:
-            found = claimer.Claimer(
+        """Return the claimer of a service, started by the service's first claim."""
+        service_claimer = self._claimers.get(service)
+        if service_claimer is None:
+            service_claimer = claimer.Claimer(
                 self._log,
                 service,
                 self._own,
@@ -190,16 +195,19 @@
                 ),
                 note=self._trace_hooks.claims,
             )
-            self._claimers[service] = found
-            self._claimer_tasks.add(self._loop.create_task(found.run()))
-        return found
+            self._claimers[service] = service_claimer
+            self._claimer_tasks.add(self._loop.create_task(service_claimer.run()))
+        return service_claimer
 
     async def _flush_claims(self):
-        """Write the last notes, for a bounded time: they only spare callers waits."""
-        for found in self._claimers.values():
+        """Write the last ends of claimed requests to the log, for a bounded time.
+
+        Lost ones only make callers wait longer.
+        """
+        for service_claimer in self._claimers.values():
             try:
                 async with asyncio.timeout(claimer.PATIENCE):
-                    await found.flush()
+                    await service_claimer.flush()
             except TimeoutError:
                 logging.warning("claims not flushed: the log does not answer")
         for task in self._claimer_tasks:
--- a/whinwinch/daemon.py
+++ b/whinwinch/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop."""
+"""Start, run and stop of a daemon."""
 
 import asyncio
 import concurrent.futures
@@ -10,16 +10,16 @@
 from .daemons import gossip
 from .operators import access
 
-# Threads for what blocks in control: the log read and appended to.
-CONTROL_THREADS = 12
-# After the stop the last answers still have this long to get through.
-CLOSE_SECONDS = 0.5
-CLOSE_TICK = 0.02
+# Maximum number of threads for blocking reads of and appends to the log.
+MAX_CONTROL_THREADS = 12
+# Seconds to send the last answers after the stop, and between two checks of it.
+CLOSE_TIMEOUT = 0.5
+CLOSE_POLL_INTERVAL = 0.02
 
 
 def run(settings):
     """Run a daemon until SIGTERM or SIGINT; return the exit code."""
-    # There are no absl flags here; unmarked, absl warns of that in its first line.
+    # absl flags aren't used; without the mark, absl's first log line is a warning.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(getattr(logging, settings.verbosity.upper()))
@@ -28,10 +28,10 @@
 
 
 async def serve(settings):
-    """Run a daemon on the running event loop until it has stopped."""
+    """Run a daemon on the running event loop; return the exit code."""
     loop = asyncio.get_running_loop()
     loop.set_default_executor(
-        concurrent.futures.ThreadPoolExecutor(CONTROL_THREADS, "control")
+        concurrent.futures.ThreadPoolExecutor(MAX_CONTROL_THREADS, "control")
     )
     operators = access.parse_operators(settings.operator_tokens)
     access.check_peer_setting(settings.peer_token)
@@ -63,15 +63,18 @@
 
 
 async def stop_servers(parts, servers, exchange, stop_admin):
-    """Close what listens, then what connects; nothing is in flight any more."""
+    """Close the servers, then the connections to peers and to the log.
+
+    No requests are in flight any more.
+    """
     parts.store.close()
     await asyncio.to_thread(stop_admin)
     for server in servers:
         server.begin_stop()
         server.end_stop()
-    until = parts.loop.time() + CLOSE_SECONDS
+    until = parts.loop.time() + CLOSE_TIMEOUT
     while parts.loop.time() < until and not all(each.is_idle for each in servers):
-        await asyncio.sleep(CLOSE_TICK)
+        await asyncio.sleep(CLOSE_POLL_INTERVAL)
     for server in servers:
         server.abort()
     exchange.close()
--- a/whinwinch/entrances.py
+++ b/whinwinch/entrances.py
@@ -1,4 +1,4 @@
-"""What a daemon answers: callers, the backend server, other daemons, operators."""
+"""Servers of a daemon for callers, backend server, other daemons and operators."""
 
 import asyncio
 import math
@@ -24,22 +24,24 @@
 from .operators import access, api
 from .operators import server as admin_server
 
-SECONDS_TO_COME_BACK = 1.0
-# The only daemon of its mesh is ready after this, without a member list.
-ALONE_SECONDS = 5.0
-# An operator's request for the status waits this long for the event loop.
-STATUS_SECONDS = 5.0
+# Retry delay in seconds of a refusal while the daemon is leaving or not ready.
+UNAVAILABLE_RETRY_AFTER = 1.0
+# Seconds after which a daemon that is the only one of its mesh is ready without a
+# member list.
+MEMBER_LIST_TIMEOUT = 5.0
+# Seconds that an operator's request for the status waits for the event loop.
+STATUS_TIMEOUT = 5.0
 
 
 class HttpServers(NamedTuple):
-    """The servers for callers and for the own backend server."""
+    """The servers for callers and for the local backend server."""
 
     public: http_server.Server
     private: http_server.Server
 
 
 def build_exchange(parts, gatekeeper, talk):
-    """Return the `exchange.Exchange` that takes calls and gossip of daemons."""
+    """Return the `exchange.Exchange` that serves calls and gossip of daemons."""
 
     async def serve_call(request):
         parts.in_flight.start(Direction.INWARD, parts.loop.time(), request.deadline)
@@ -61,19 +63,22 @@
     return exchange.Exchange(
         hello,
         serve_call,
-        refuse_forgotten,
+        answer_abandoned,
         answer_gossip,
         lambda token: not tokens or access.check_peer_token(token, tokens),
     )
 
 
-def refuse_forgotten(request):
-    """Answer an attempt that may have run and is no longer remembered."""
+def answer_abandoned(request):
+    """Return an answer of unknown outcome to an attempt that was abandoned.
+
+    The attempt may have run; its answer is no longer stored.
+    """
     return build_failure(request, Outcome.UNKNOWN, Reason.ABANDONED)
 
 
 def build_http_servers(parts, gatekeeper):
-    """Return the `HttpServers`, which don't listen yet."""
+    """Return the `HttpServers`, which aren't listening yet."""
     settings = parts.settings
     route = assembly.build_router(parts, gatekeeper)
     calls = caller_app.build_handler(
@@ -101,7 +106,7 @@
 
 
 def build_refusal(count_event):
-    """Return the function that answers what can't be read as a request."""
+    """Return the function that answers malformed HTTP requests."""
 
     def refuse_unreadable(status):
         count_event("unreadable")
@@ -111,12 +116,12 @@
 
 
 def build_dispatcher(calls, probes):
-    """Return the handler of the callers' address.
+    """Return the handler of HTTP requests at the callers' address.
 
     Args:
-        calls: Handler of what begins with ``/services/``.
-        probes: Maps a path such as ``/health`` to a function that returns the
-            status and the text of its answer.
+        calls: Handler of requests whose path starts with ``/services/``.
+        probes: Dict from a path such as ``/health`` to a function that returns the
+            status and the text of the answer.
     """
 
     async def dispatch(http, sender):
@@ -125,14 +130,18 @@
             return await calls(http, sender)
         probe = probes.get(path)
         if probe is None:
-            return answers.form_text(404, "no such path\n")
+            return answers.form_text(404, "path not found\n")
         return answers.form_text(*probe())
 
     return dispatch
 
 
 def start_admin(parts, gatekeeper, operators):
-    """Start to serve operators, if told to; return the function that stops it."""
+    """Start the operators' server if it is configured.
+
+    Returns:
+        The function that stops the server.
+    """
     address = parts.settings.admin_address
     if address is None:
         return lambda: None
@@ -141,7 +150,7 @@
 
 
 def build_root_route(parts, route):
-    """Return the function that routes a call from outside."""
+    """Return the coroutine function that routes a root request."""
 
     async def route_root(incoming):
         now = parts.loop.time()
@@ -158,7 +167,7 @@
 
 
 def build_outgoing_route(parts, route):
-    """Return the function that routes a call of the own backend server."""
+    """Return the coroutine function that routes a call of the local backend server."""
 
     async def route_outgoing(incoming):
         now = parts.loop.time()
@@ -166,11 +175,11 @@
         try:
             if not parts.store.ready:
                 return refuse_entry(incoming, Reason.NOT_READY)
-            holder = parts.running.find(incoming.identifier)
-            if holder is not None:
-                return await route.route_nested(incoming, holder)
-            # A request that this daemon doesn't know, after a restart perhaps:
-            # it is served, but may cause no retries.
+            parent = parts.running.find(incoming.identifier)
+            if parent is not None:
+                return await route.route_nested(incoming, parent)
+            # The parent request is unknown, for example after a restart: the call is
+            # served but may cause no retries.
             budget = 0 if incoming.identifier else None
             return await route.route_root(incoming, budget)
         finally:
@@ -180,11 +189,11 @@
 
 
 def find_obstacle(parts):
-    """Return why no call is taken from outside at the moment, or None.
+    """Return the `Reason` to refuse root requests now, None to serve them.
 
-    A daemon that has not read the configuration doesn't know which calls must
-    not be repeated. Were it to serve them all the same, a payout sent again
-    through it would not be claimed, and be paid twice.
+    A daemon that has not read the configuration doesn't know which calls must not
+    be repeated. If it served them, a payout that is retried through it would not be
+    claimed and would be paid twice.
     """
     if not parts.control.admits(Direction.ENTRY):
         return Reason.LEAVING
@@ -192,14 +201,22 @@
 
 
 def refuse_entry(incoming, reason):
-    """Return the refusal of a call from outside."""
+    """Log and return the refusal of a call that was not routed.
+
+    Args:
+        incoming: `router.IncomingCall`.
+        reason: `Reason` of the refusal.
+
+    Returns:
+        The `router.CallResult`.
+    """
     attempt = messages.new_identifier()
     answer = Answer(
         attempt,
         Outcome.NOT_RUN,
         reason,
         status=503,
-        retry_after=SECONDS_TO_COME_BACK,
+        retry_after=UNAVAILABLE_RETRY_AFTER,
     )
     decisions.log_decision(
         decisions.Refused(
@@ -210,7 +227,7 @@
             "",
             incoming.caller,
             reason.value,
-            SECONDS_TO_COME_BACK,
+            UNAVAILABLE_RETRY_AFTER,
             "entry",
         )
     )
@@ -218,25 +235,26 @@
 
 
 def build_readiness(parts):
-    """Return a function that says why callers should stay away, "" for nothing.
+    """Return a function that returns why the daemon isn't ready, "" if it is.
 
-    A daemon that takes callers before it knows the other daemons tells them
-    "no-endpoint" of services that are there; after the restart of a zone all
-    its callers would be told so.
+    A daemon that serves callers before it has received the member list answers
+    "no-endpoint" for services that have endpoints; after the restart of a zone, all
+    its callers would get this answer.
     """
-    configured = []
+    # The time of the first check after the configuration was read.
+    configured_at = []
 
     def find_obstacle():
         if parts.control.phase is not Phase.SERVING:
             return "leaving"
         if not parts.store.ready:
             return "no configuration read yet"
-        configured.append(parts.loop.time())
-        del configured[1:]
+        configured_at.append(parts.loop.time())
+        del configured_at[1:]
         if parts.members.next_bucket >= membertable.BUCKETS:
             return ""
-        # The only daemon of its mesh has nobody to get the list from.
-        if parts.loop.time() - configured[0] < ALONE_SECONDS:
+        # The only daemon of its mesh never receives a member list.
+        if parts.loop.time() - configured_at[0] < MEMBER_LIST_TIMEOUT:
             return "no member list received yet"
         return ""
 
@@ -244,7 +262,7 @@
 
 
 def build_probes(parts):
-    """Return the health, readiness and metrics pages by path."""
+    """Return a dict from path to handler of the health, readiness and metrics pages."""
     find_obstacle = build_readiness(parts)
 
     def check_health():
@@ -267,17 +285,17 @@
 
 
 def build_admin(parts, gatekeeper, operators):
-    """Return the WSGI callable of the resource API.
+    """Return the WSGI application of the operators' API.
 
-    It runs on threads; what belongs to the event loop is asked for there.
+    It runs on threads; state of the event loop is read on the event loop's thread.
     """
 
     async def find_status():
         return describe_status(parts, gatekeeper)
 
-    def ask_status():
+    def find_status_from_thread():
         future = asyncio.run_coroutine_threadsafe(find_status(), parts.loop)
-        return future.result(STATUS_SECONDS)
+        return future.result(STATUS_TIMEOUT)
 
     def begin_drain():
         parts.loop.call_soon_threadsafe(parts.control.begin_leaving)
@@ -286,7 +304,7 @@
         api.Parts(
             store=parts.store,
             operators=operators,
-            find_status=ask_status,
+            find_status=find_status_from_thread,
             begin_drain=begin_drain,
             render_metrics=parts.metrics.render_metrics,
             max_key_window=parts.settings.key_window,
@@ -295,7 +313,7 @@
 
 
 def describe_status(parts, gatekeeper):
-    """Return what operators see of this daemon, as a JSON form."""
+    """Return the status of this daemon for operators, as a JSON object."""
     view = parts.store.snapshot()
     announcement = parts.control.announcement
     return {
@@ -318,6 +336,10 @@
 
 
 def find_age(parts):
-    """Return the seconds since the configuration was known newest, -1 for never."""
+    """Return the seconds since the configuration was last confirmed as the newest.
+
+    Returns:
+        -1 if it never was.
+    """
     age = parts.relay.find_age(parts.loop.time())
     return age if age < math.inf else -1.0
--- a/whinwinch/loops.py
+++ b/whinwinch/loops.py
@@ -4,8 +4,8 @@
 
 
 def install_loop():
-    """Run all event loops by uvloop, which must not use io_uring."""
-    # Read when the library is loaded, so the import stands behind it.
+    """Make uvloop the implementation of all event loops, without io_uring."""
+    # uvloop reads the variable when it is loaded, so it is imported afterwards.
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
--- a/whinwinch/tasks.py
+++ b/whinwinch/tasks.py
@@ -1,4 +1,4 @@
-"""The control tasks of a daemon, on its event loop."""
+"""Background tasks of a daemon on its event loop."""
 
 import asyncio
 import contextlib
@@ -11,12 +11,12 @@
 from .logservice import follower, joining, readers, snapshots, streams
 from .logservice.client import LogUnavailable
 
-# A daemon that stops doesn't wait longer than this for the log.
-GOODBYE_SECONDS = 1.0
+# Maximum seconds that a stopping daemon waits for the log.
+LEAVE_TIMEOUT = 1.0
 
 
 def build_send(parts):
-    """Return the awaitable that sends gossip from the loop."""
+    """Return the coroutine function that sends a gossip message to a peer."""
 
     async def send(address, message):
         try:
@@ -29,7 +29,7 @@
 
 
 async def run_tasks(parts, talk, exchange):
-    """Run the control tasks until the daemon has stopped."""
+    """Run the background tasks until the daemon has stopped or one of them ends."""
     tasks = [
         asyncio.create_task(task)
         for task in (
@@ -41,32 +41,32 @@
             joining.run_joining(*build_stream(parts, streams.MEMBERS), parts.members),
         )
     ]
-    ending = asyncio.create_task(parts.control.run())
-    done, _ = await asyncio.wait([*tasks, ending], return_when=asyncio.FIRST_COMPLETED)
+    control = asyncio.create_task(parts.control.run())
+    done, _ = await asyncio.wait([*tasks, control], return_when=asyncio.FIRST_COMPLETED)
     if parts.control.phase is Phase.STOPPED:
-        await say_goodbye(parts, talk)
-    for task in (*tasks, ending):
+        await announce_leave(parts, talk)
+    for task in (*tasks, control):
         task.cancel()
     for task in done:
         task.result()
 
 
-async def say_goodbye(parts, talk):
-    """Tell peers and the log that this daemon has gone, for a bounded time.
+async def announce_leave(parts, talk):
+    """Announce to peers and in the log that this daemon leaves, for a bounded time.
 
-    Peers would find out by their probes, some seconds later.
+    Without the announcement, peers would detect it by their probes some seconds later.
     """
     parts.members.leave(parts.loop.time())
     talk.wake.set()
     _, append = build_stream(parts, streams.MEMBERS)
     with contextlib.suppress(TimeoutError, LogUnavailable):
-        async with asyncio.timeout(GOODBYE_SECONDS):
+        async with asyncio.timeout(LEAVE_TIMEOUT):
             await joining.append_leave(append, parts.members, parts.loop.time())
     await asyncio.sleep(gossip.PUSH_INTERVAL)
 
 
 def build_stream(parts, stream):
-    """Return awaitable functions that read and append to a stream of the log."""
+    """Return coroutine functions that read from and append to a stream of the log."""
 
     async def read(offset, limit, wait):
         return await asyncio.to_thread(parts.log.read, stream, offset, limit, wait)
@@ -78,7 +78,7 @@
 
 
 async def follow_configuration(parts, talk):
-    """Read the configuration from the log while it is this daemon's turn."""
+    """Read the configuration from the log while this daemon is a reader."""
     read, _ = build_stream(parts, streams.CONFIGURATION)
     await follower.run_follower(
         read, parts.relay, lambda now: is_reader(parts, now), talk.wake
@@ -86,7 +86,7 @@
 
 
 async def write_snapshots(parts):
-    """Write snapshots of the configuration while this daemon reads the log."""
+    """Write snapshots of the configuration while this daemon is a reader."""
     _, append = build_stream(parts, streams.CONFIGURATION)
     await snapshots.run_snapshots(
         lambda: parts.store.plan_snapshot(parts.settings.log_retention, time.time()),
@@ -99,7 +99,7 @@
 def is_reader(parts, now):
     """Return whether this daemon reads the configuration from the log.
 
-    One that leaves doesn't: a long poll under way would hold up its end.
+    A leaving daemon doesn't, since a pending long poll would delay its stop.
     """
     if parts.control.phase is not Phase.SERVING:
         return False
