--- a/test/platform/test_dialect.py
+++ b/test/platform/test_dialect.py
@@ -29,9 +29,9 @@
     return dialect.build_request(HTTP_REQUEST, route, "s", "own", 9.0, 8.0)
 
 
-def judge(status, *headers, route=SAFE):
+def parse(status, *headers, route=SAFE):
     response = HttpResponse(status, "Phrase", headers, b"x")
-    return dialect.judge_backend_answer(build(route), response)
+    return dialect.parse_backend_answer(build(route), response)
 
 
 class RequestTest(unittest.TestCase):
@@ -50,7 +50,7 @@
 
     def test_request_to_the_backend_server(self):
         """A caller forges headers that only the daemon may set."""
-        data = dialect.form_backend_request(build(), 0.75, "i-1").decode()
+        data = dialect.format_backend_request(build(), 0.75, "i-1").decode()
         head, _, body = data.partition("\r\n\r\n")
         lines = head.split("\r\n")
         self.assertEqual(lines[0], "POST /a/b?c=d HTTP/1.1")
@@ -66,21 +66,21 @@
 
 class AnswerTest(unittest.TestCase):
     def test_complete_answer_is_passed_on_unchanged(self):
-        answer = judge(201, ("X-Response-Seal", "s"), ("Keep-Alive", "timeout=5"))
+        answer = parse(201, ("X-Response-Seal", "s"), ("Keep-Alive", "timeout=5"))
         self.assertEqual(answer.outcome, Outcome.COMPLETED)
-        response = dialect.form_answer(answer, "q1")
+        response = dialect.build_response(answer, "q1")
         expected = HttpResponse(201, "Phrase", (("X-Response-Seal", "s"),), b"x")
         self.assertEqual(response, expected)
 
     def test_request_refused_by_the_backend_server(self):
-        answer = judge(503, ("X-Not-Executed", "1"))
+        answer = parse(503, ("X-Not-Executed", "1"))
         self.assertEqual(
             (answer.outcome, answer.reason), (Outcome.NOT_RUN, Reason.SHED)
         )
         self.assertTrue(answer.offered)
 
     def test_another_backend_server_at_the_address(self):
-        answer = judge(421, ("X-Instance-Id", "i-2"))
+        answer = parse(421, ("X-Instance-Id", "i-2"))
         self.assertEqual(answer.reason, Reason.WRONG_BACKEND)
         self.assertEqual(answer.outcome, Outcome.NOT_RUN)
 
@@ -90,27 +90,27 @@
         If the status were passed on, the caller would conclude that the payout has
         not run, send it again, and it would be paid twice.
         """
-        answer = judge(503, ("X-Response-Seal", "s"), route=UNSAFE)
+        answer = parse(503, ("X-Response-Seal", "s"), route=UNSAFE)
         self.assertEqual(answer.outcome, Outcome.UNKNOWN)
-        self.assertEqual(dialect.form_answer(answer, "q1").status, 502)
+        self.assertEqual(dialect.build_response(answer, "q1").status, 502)
 
     def test_success_without_signature(self):
         """Another server than the backend server answers at its address."""
-        self.assertEqual(judge(200).outcome, Outcome.UNKNOWN)
+        self.assertEqual(parse(200).outcome, Outcome.UNKNOWN)
 
     def test_answer_of_another_request(self):
         response = HttpResponse(200, "OK", (("X-Request-Id", "q0"),))
-        self.assertFalse(dialect.belongs_to(build(), response))
+        self.assertFalse(dialect.is_answer_to(build(), response))
         response = HttpResponse(200, "OK", (("X-Request-Id", "q1"),))
-        self.assertTrue(dialect.belongs_to(build(), response))
+        self.assertTrue(dialect.is_answer_to(build(), response))
 
     def test_refusal_has_a_retry_delay(self):
         answer = build_failure(build(), Outcome.NOT_RUN, Reason.LEVEL, retry_after=0.25)
-        response = dialect.form_answer(answer, "q1")
+        response = dialect.build_response(answer, "q1")
         self.assertEqual(response.status, 503)
         self.assertEqual(find_header(response.headers, "retry-after"), "0.250")
 
     def test_unknown_outcome_has_no_status_that_guarantees_not_run(self):
         for reason, status in ((Reason.BROKEN, 502), (Reason.DEADLINE, 504)):
             answer = Answer("a", Outcome.UNKNOWN, reason)
-            self.assertEqual(dialect.form_answer(answer, "q1").status, status)
+            self.assertEqual(dialect.build_response(answer, "q1").status, status)
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -41,7 +41,7 @@
     Attributes:
         settings: `settings.Settings`.
         loop: Event loop of the daemon.
-        own: Identifier of this daemon, new at every start.
+        local_daemon: Identifier of this daemon, new at every start.
         log: Client of the platform's log.
         members: Member list of the mesh.
         store: Store of the configuration.
@@ -58,7 +58,7 @@
 
     settings: object
     loop: asyncio.AbstractEventLoop
-    own: str
+    local_daemon: str
     log: LogClient
     members: membership.Membership
     store: Store
@@ -80,9 +80,9 @@
         settings: `settings.Settings`.
         loop: The running event loop.
     """
-    own = messages.new_identifier()
+    local_daemon = messages.new_identifier()
     endpoint = messages.Endpoint(
-        daemon=own,
+        daemon=local_daemon,
         address=str(settings.advertise or settings.peer_address),
         zone=settings.zone,
         region=settings.region,
@@ -102,12 +102,12 @@
     in_flight = inflight.InFlightCounter()
     ledger = retries.Ledger()
 
-    trace_hooks = build_trace_hooks(settings, own)
+    trace_hooks = build_trace_hooks(settings, local_daemon)
     config = build_relay(store, trace_hooks)
     counts = metrics.Metrics()
 
     token = access.choose_peer_token(settings.peer_token)
-    hello = frames.Hello(own, endpoint.address, token)
+    hello = frames.Hello(local_daemon, endpoint.address, token)
     peers = links.Peers(hello, ignore_news)
 
     def tick(now):
@@ -119,7 +119,7 @@
     return Parts(
         settings=settings,
         loop=loop,
-        own=own,
+        local_daemon=local_daemon,
         log=log,
         members=members,
         store=store,
@@ -133,7 +133,7 @@
         control=control.Control(
             loop,
             settings,
-            own,
+            local_daemon,
             members,
             log,
             in_flight,
@@ -150,12 +150,12 @@
     del address, news
 
 
-def build_trace_hooks(settings, own):
+def build_trace_hooks(settings, local_daemon):
     """Return the `recording.TraceHooks` of the trace, no-ops if tracing is off."""
     if not settings.trace:
         return recording.NO_TRACE_HOOKS
     return recording.build_trace_hooks(
-        own, tracerecords.make_recorder(sys.stdout, time.time)
+        local_daemon, tracerecords.make_recorder(sys.stdout, time.time)
     )
 
 
@@ -221,7 +221,7 @@
     return router.Router(
         clock=parts.loop.time,
         targets=router.AttemptTargets(
-            local_daemon=parts.own,
+            local_daemon=parts.local_daemon,
             find_endpoints=parts.members.find_endpoints,
             has_room=gatekeeper.has_room,
             serve=gatekeeper.serve,
--- a/whinwinch/callers/answers.py
+++ b/whinwinch/callers/answers.py
@@ -122,7 +122,7 @@
         return "Unknown"
 
 
-def form_answer(routed):
+def build_response(routed):
     """Return the `HttpResponse` for a `router.CallResult`."""
     answer = routed.answer
     pairs = build_headers(routed)
@@ -133,7 +133,7 @@
     else:
         pairs.append(JSON_TYPE)
         body = build_body(answer)
-    return _form(choose_status(answer), pairs, body)
+    return _build_response(choose_status(answer), pairs, body)
 
 
 def form_findings(status, findings, identifier=""):
@@ -144,18 +144,18 @@
         ("Whinwinch-Reason", Reason.BAD_REQUEST.value),
         JSON_TYPE,
     ]
-    return _form(status, pairs, build_findings_body(findings))
+    return _build_response(status, pairs, build_findings_body(findings))
 
 
-def form_unreadable(status):
+def build_malformed_response(status):
     """Return the `HttpResponse` to a malformed HTTP request."""
     return form_findings(status, [MALFORMED_FINDINGS[status]])
 
 
-def form_text(status, text):
+def build_text_response(status, text):
     """Return an `HttpResponse` of plain text."""
-    return _form(status, [("Content-Type", "text/plain")], text.encode())
+    return _build_response(status, [("Content-Type", "text/plain")], text.encode())
 
 
-def _form(status, pairs, body):
+def _build_response(status, pairs, body):
     return HttpResponse(status, find_phrase(status), tuple(pairs), body)
--- a/whinwinch/callers/app.py
+++ b/whinwinch/callers/app.py
@@ -28,8 +28,8 @@
             return answers.form_findings(400, parsed.findings, incoming.identifier)
         if count_in_flight() >= max_in_flight:
             count_event("too-many-requests")
-            return answers.form_answer(_refuse_excess(incoming))
-        return answers.form_answer(await route(incoming))
+            return answers.build_response(_refuse_excess(incoming))
+        return answers.build_response(await route(incoming))
 
     return serve_call
 
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -20,7 +20,7 @@
     Args:
         loop: The event loop.
         settings: `settings.Settings`.
-        own: Identifier of this daemon, new at every start.
+        local_daemon: Identifier of this daemon, new at every start.
         membership: `membership.Membership`.
         log: `logservice.client.LogClient`.
         in_flight: `inflight.InFlightCounter`.
@@ -33,7 +33,7 @@
         self,
         loop,
         settings,
-        own,
+        local_daemon,
         membership,
         log,
         in_flight,
@@ -43,7 +43,7 @@
     ):
         self._loop = loop
         self._settings = settings
-        self._own = own
+        self._local_daemon = local_daemon
         self._membership = membership
         self._log = log
         self._in_flight = in_flight
@@ -173,9 +173,9 @@
 
     def _publish_membership(self, now):
         announcement = self.announcement
-        own = self._membership.local_member.endpoint
-        service = announcement.service if announcement else own.service
-        slots = announcement.slots if announcement else own.slots
+        endpoint = self._membership.local_member.endpoint
+        service = announcement.service if announcement else endpoint.service
+        slots = announcement.slots if announcement else endpoint.slots
         leaving = lifecycle.is_leaving(self._lifecycle)
         self._membership.announce(service, slots, leaving, now)
         self._wake()
@@ -187,7 +187,7 @@
             service_claimer = claimer.Claimer(
                 self._log,
                 service,
-                self._own,
+                self._local_daemon,
                 LogUnavailable,
                 state=claims.Claims(
                     window=self._settings.key_window,
--- a/whinwinch/daemon.py
+++ b/whinwinch/daemon.py
@@ -49,7 +49,7 @@
         loop.add_signal_handler(number, parts.control.begin_leaving)
     logging.info(
         "daemon=%s version=%s zone=%s address=%s peer=%s serving",
-        parts.own,
+        parts.local_daemon,
         __version__,
         settings.zone,
         settings.address,
--- a/whinwinch/entrances.py
+++ b/whinwinch/entrances.py
@@ -58,7 +58,9 @@
         answer = await gossip.answer_gossip(talk, message)
         return answer.SerializeToString()
 
-    hello = frames.Hello(parts.own, parts.members.local_member.endpoint.address)
+    hello = frames.Hello(
+        parts.local_daemon, parts.members.local_member.endpoint.address
+    )
     tokens = parts.settings.peer_token
     return exchange.Exchange(
         hello,
@@ -98,21 +100,21 @@
         outgoing, parts.control.announce, parts.control.withdraw
     )
     limits = http_server.Limits(settings.max_header, settings.max_body)
-    refuse = build_refusal(parts.metrics.count_event)
+    refuse = build_malformed_handler(parts.metrics.count_event)
     return HttpServers(
         http_server.Server(public, limits, refuse),
         http_server.Server(private, limits, refuse),
     )
 
 
-def build_refusal(count_event):
+def build_malformed_handler(count_event):
     """Return the function that answers malformed HTTP requests."""
 
-    def refuse_unreadable(status):
+    def answer_malformed(status):
         count_event("unreadable")
-        return answers.form_unreadable(status)
+        return answers.build_malformed_response(status)
 
-    return refuse_unreadable
+    return answer_malformed
 
 
 def build_dispatcher(calls, probes):
@@ -130,8 +132,8 @@
             return await calls(http, sender)
         probe = probes.get(path)
         if probe is None:
-            return answers.form_text(404, "path not found\n")
-        return answers.form_text(*probe())
+            return answers.build_text_response(404, "path not found\n")
+        return answers.build_text_response(*probe())
 
     return dispatch
 
@@ -317,7 +319,7 @@
     view = parts.store.snapshot()
     announcement = parts.control.announcement
     return {
-        "daemon": parts.own,
+        "daemon": parts.local_daemon,
         "version": __version__,
         "phase": parts.control.phase.value,
         "zone": parts.settings.zone,
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -396,11 +396,11 @@
         sent, next_repeat = None, 0.0
         while True:
             await asyncio.sleep(GRAPH_INTERVAL)
-            facts, reader = self.graph.export_topology(), self._sources.reader
+            topology, reader = self.graph.export_topology(), self._sources.reader
             now = self._loop.time()
-            if (facts, reader) != sent or now >= next_repeat:
-                self._send_topology(frames.Graph(facts))
-                sent, next_repeat = (facts, reader), now + GRAPH_REPEAT_INTERVAL
+            if (topology, reader) != sent or now >= next_repeat:
+                self._send_topology(frames.Graph(topology))
+                sent, next_repeat = (topology, reader), now + GRAPH_REPEAT_INTERVAL
 
     def _send_topology(self, frame):
         if not self._sources.is_relay:
@@ -471,9 +471,12 @@
     def list_route_levels(self):
         """Yield a `loadlog.RouteLevel` for each local route with a level above 0."""
         for name in self._find_local_routes():
-            own, below = self.guard.find_level(name), self._find_downstream_level(name)
-            if own > 0.0 or below > 0.0:
-                yield loadlog.RouteLevel(name, own, below)
+            local, below = (
+                self.guard.find_level(name),
+                self._find_downstream_level(name),
+            )
+            if local > 0.0 or below > 0.0:
+                yield loadlog.RouteLevel(name, local, below)
 
     async def log_load(self):
         """Log the load at each interval until cancelled."""
--- a/whinwinch/platform/dialect.py
+++ b/whinwinch/platform/dialect.py
@@ -103,7 +103,7 @@
     )
 
 
-def form_backend_request(request, seconds, identity):
+def format_backend_request(request, seconds, identity):
     """Return the bytes of the HTTP request that sends an attempt to a backend server.
 
     Args:
@@ -121,7 +121,7 @@
     )
 
 
-def belongs_to(request, response):
+def is_answer_to(request, response):
     """Return whether an `HttpResponse` answers a request.
 
     A duplicate answer to an earlier request may arrive in place of the expected one.
@@ -130,7 +130,7 @@
     return not echoed or echoed == find_header(request.headers, _REQUEST_ID)
 
 
-def judge_backend_answer(request, response):
+def parse_backend_answer(request, response):
     """Return the `Answer` for the `HttpResponse` of a backend server."""
     if response.status == _WRONG_BACKEND:
         return _fail(request, Outcome.NOT_RUN, Reason.WRONG_BACKEND, 503)
@@ -152,7 +152,7 @@
     )
 
 
-def form_answer(answer, identifier):
+def build_response(answer, identifier):
     """Return the `HttpResponse` for a caller.
 
     Args:
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -104,9 +104,9 @@
             ),
             instance_settings.backend,
             Dialect(
-                dialect.form_backend_request,
-                dialect.judge_backend_answer,
-                dialect.belongs_to,
+                dialect.format_backend_request,
+                dialect.parse_backend_answer,
+                dialect.is_answer_to,
             ),
             instance_settings.repeats,
         )
@@ -253,7 +253,7 @@
         self._metrics.note_call(
             route.name, route.importance, answer.outcome, answer.reason, seconds, 0
         )
-        return dialect.form_answer(answer, request.root)
+        return dialect.build_response(answer, request.root)
 
     async def _answer_readiness(self, http, sender):
         ready = self.instance.table.version and not self.instance.is_stopping
