--- a/test/operators/fakes.py
+++ b/test/operators/fakes.py
@@ -1,4 +1,4 @@
-"""A small log for tests of the resource API."""
+"""In-memory log for tests of the resource API."""
 
 import threading
 
@@ -13,11 +13,11 @@
 
 
 class Log:
-    """Hands each record to the stores that follow it at once.
+    """Log that passes each record to the following stores at once.
 
     Attributes:
-        fault: None, or the exception that the next append ends with.
-        keeps: Whether an append that ends with a fault takes effect.
+        fault: Exception that appends raise, None for no fault.
+        keeps: Whether an append that raises `fault` still stores the record.
     """
 
     def __init__(self):
--- a/test/operators/test_access.py
+++ b/test/operators/test_access.py
@@ -15,7 +15,7 @@
         self.assertEqual(access.find_author(operators, f"Bearer {LUIS}"), "luis")
         self.assertEqual(access.find_author(operators, f"bearer  {ANA}"), "ana")
 
-    def test_refuses_what_is_not_known(self):
+    def test_rejects_invalid_tokens(self):
         operators = access.parse_operators(f"ana:{ANA}")
         for header in (
             None,
@@ -32,16 +32,16 @@
             access.find_author(operators, "Bearer caf\xe9\udcff")
 
     def test_closed_without_tokens(self):
-        """A daemon was started without operators' tokens.
+        """A daemon is started without operators' tokens.
 
-        Were its admin API open, whoever reaches the port could change what is
-        shed and what may run twice.
+        If its admin API were open, anyone who reaches the port could change which
+        requests are shed and which calls may run twice.
         """
         with self.assertRaises(access.AccessError) as caught:
             access.find_author((), f"Bearer {ANA}")
         self.assertTrue(caught.exception.closed)
 
-    def test_findings_show_no_token(self):
+    def test_findings_contain_no_token(self):
         text = f"ana:short,b@d name:{ANA},luis:{LUIS},eva:{LUIS},{LUIS}x"
         with self.assertRaises(errors.InputErrors) as caught:
             access.parse_operators(text)
@@ -52,11 +52,11 @@
         for secret in ("short", ANA, LUIS):
             self.assertNotIn(secret, str(findings))
 
-    def test_objects_show_no_token(self):
+    def test_repr_contains_no_token(self):
         operators = access.parse_operators(f"ana:{ANA}")
         self.assertNotIn(ANA, repr(operators))
 
-    def test_peer_tokens_change_without_a_gap(self):
+    def test_peer_tokens_rotate_without_interruption(self):
         old, new = "old-0123456789abcdef", "new-0123456789abcdef"
         setting = f" {new},{old}"
         access.check_peer_setting(setting)
--- a/test/operators/test_api.py
+++ b/test/operators/test_api.py
@@ -23,7 +23,7 @@
 
 
 class ApiCase(unittest.TestCase):
-    """Runs the API on a port of its own."""
+    """Base class of tests that serve the API on a free port."""
 
     operators = f"ana:{TOKEN},luis:{OTHER_TOKEN}"
 
@@ -36,7 +36,7 @@
         self.addCleanup(self.pool.clear)
 
     def start_daemon(self, store):
-        """Serve the API for a store; return its URL."""
+        """Serve the API for a store and return its URL."""
         parts = api.Parts(
             store,
             access.parse_operators(self.operators),
@@ -96,7 +96,7 @@
         self.assertError(self.ask("DELETE", "/services/archive"), 404, "not-found")
 
     def test_conditions(self):
-        """Two operators hold the same version and both change it."""
+        """Two operators read the same version and both change it."""
         first = self.put(If_None_Match="*")
         self.assertEqual(first.status, 201)
         error = self.assertError(self.put(If_None_Match="*"), 412, "conflict")
@@ -122,7 +122,7 @@
         self.assertError(self.put(document), 400, "bad-request")
         self.assertEqual(self.log.records, [])
 
-    def test_odd_bodies(self):
+    def test_invalid_bodies_and_paths(self):
         path = "/services/archive"
         for body in ("", "{", "[" * 50000, '{"a": 1, "a": 2}', b"\xff", "NaN", "[]"):
             self.assertError(self.ask("PUT", path, body), 400, "bad-request")
@@ -135,10 +135,10 @@
         self.assertError(self.ask("POST", path, "{}"), 405, "http")
 
     def test_log_down(self):
-        """The log is down, or its answer is lost, while an operator changes something.
+        """The log is down or its answer is lost while an operator makes a change.
 
-        The operator has to know whether to look for the change or to make it
-        again.
+        The error has to tell whether to look up the change in the history or to
+        make it again.
         """
         self.log.fault = fakes.LogDown(False)
         with self.assertLogs(level="WARNING"):
@@ -153,7 +153,7 @@
         self.assertTrue(error["may_have_taken_effect"])
         self.assertIn("change_id", error)
 
-    def test_history_says_who_and_when(self):
+    def test_history_records_authors_and_times(self):
         self.put()
         self.put(token=OTHER_TOKEN)
         self.ask("DELETE", "/services/archive")
@@ -190,7 +190,7 @@
 class ClosedTest(ApiCase):
     operators = ""
 
-    def test_without_tokens_nothing_is_open(self):
+    def test_api_is_closed_without_tokens(self):
         error = self.assertError(self.put(), 403, "closed")
         self.assertIn("WHINWINCH_OPERATOR_TOKENS", error["message"])
 
@@ -210,7 +210,7 @@
         self.assertEqual([line["version"] for line in lines], [2, 3])
         self.assertEqual([line["type"] for line in lines], ["changed", "deleted"])
 
-    def test_sees_a_change_as_it_happens(self):
+    def test_streams_a_change_as_it_happens(self):
         answer = self.open_watch()
         lines = iter(answer.stream(1))
         self.read_line(lines)
@@ -240,10 +240,10 @@
         self.assertError(answer, 429, "too-many-watches")
         self.assertIn("Retry-After", answer.headers)
 
-    def test_place_of_a_client_that_left_is_given_back(self):
-        """A watcher's machine goes away in the middle of its watch.
+    def test_place_of_a_disconnected_client_is_released(self):
+        """A client disconnects during its watch.
 
-        Were its place kept, the daemon would soon refuse all watches.
+        If its place were not released, the daemon would soon refuse all watches.
         """
         self.open_watch().close()
         for _ in range(100):
@@ -251,14 +251,14 @@
             answer = self.ask("GET", "/services?watch=true&timeout=0")
             if answer.status == 200:
                 return
-        self.fail("the place was not given back")
+        self.fail("the place of the watch was not released")
 
-    def test_place_is_given_back(self):
+    def test_place_is_released(self):
         for _ in range(3):
             self.read_lines("/services?watch=true&timeout=0")
 
-    def test_too_old_a_version(self):
-        """A watcher comes back with a version whose changes are forgotten."""
+    def test_version_too_old(self):
+        """A watcher resumes from a version whose changes are no longer stored."""
         self.put()
         for number in range(configuration.MAX_HISTORY):
             change = fakes.make_change("other", 0, {}, f"c{number}")
@@ -270,10 +270,10 @@
 
 
 class NotReadyTest(ApiCase):
-    def test_daemon_that_has_read_nothing_says_so(self):
+    def test_daemon_without_configuration_is_not_ready(self):
         """A daemon has just started while the log is down.
 
-        An empty list would have tooling create everything anew.
+        If it returned an empty list, tools would create all services again.
         """
         self.store._ready = False
         self.assertError(self.ask("GET", "/services"), 503, "not-ready")
--- a/test/operators/test_client.py
+++ b/test/operators/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the client against the API on two daemons."""
+"""Tests of the client against the API of two daemons."""
 
 import itertools
 import unittest
@@ -9,7 +9,7 @@
 from whinwinch import configuration, errors
 from whinwinch.operators import client
 
-# A port that nothing listens on: connections are refused at once.
+# Nothing listens on this port: connections are refused at once.
 DEAD = "http://127.0.0.1:1"
 
 
@@ -55,7 +55,7 @@
         with self.assertRaises(client.Unreachable):
             self.make_client(DEAD).apply_service(DOCUMENT)
 
-    def test_goes_to_the_next_daemon(self):
+    def test_fails_over_to_the_next_daemon(self):
         subject = self.make_client(DEAD, self.url)
         self.assertTrue(subject.apply_service(DOCUMENT))
         self.assertEqual(len(subject.list_services().services), 1)
@@ -63,7 +63,7 @@
     def test_drain_goes_to_one_daemon_only(self):
         """The daemon to be drained does not answer.
 
-        Were the next one asked, a healthy backend server would leave.
+        With a failover to the next daemon, a healthy backend server would leave.
         """
         with self.assertRaises(client.Unreachable):
             self.make_client(DEAD, self.url).drain()
@@ -72,7 +72,7 @@
         self.assertEqual(self.drained, [self.store])
 
     def test_log_down(self):
-        """The log is down, or its answer is lost, while a change is applied."""
+        """The log is down or its answer is lost while a change is applied."""
         self.log.fault = fakes.LogDown(False)
         with self.assertLogs(level="WARNING"), self.assertRaises(client.Unreachable):
             self.client.apply_service(DOCUMENT)
@@ -85,10 +85,10 @@
         self.assertTrue(caught.exception.change_id)
 
     def test_change_sent_to_two_daemons_takes_effect_once(self):
-        """The log takes a change, its answer is lost and it isn't read in time.
+        """The log stores a change, but its answer is lost and the read is late.
 
-        The client goes on to the next daemon. Were the change made twice there,
-        it would undo what a colleague changed in between.
+        The client sends the change to the next daemon. If it took effect a second
+        time there, it would overwrite another operator's change made in between.
         """
         stores, self.log.stores = self.log.stores, []
         self.log.fault, self.log.keeps = fakes.LogDown(None), True
@@ -115,10 +115,11 @@
         other = self.put(DOCUMENT | {"spec": {}}, **headers)
         self.assertEqual(other.headers["ETag"], '"2"')
 
-    def test_watch_resumes_after_a_cut(self):
+    def test_watch_resumes_after_a_disconnect(self):
         """A daemon stops while a watch is open.
 
-        The watcher must see each change once, also those made meanwhile.
+        The watcher must receive each change once, including those made before it
+        reconnects.
         """
         second = make_store(self.log)
         second_url = self.start_daemon(second)
@@ -133,18 +134,18 @@
         self.assertEqual(seen, later)
         events.close()
 
-    def test_watch_that_must_list(self):
+    def test_watch_from_an_expired_version(self):
         for number in range(configuration.MAX_HISTORY + 1):
             change = fakes.make_change(replaces=number, body={}, change_id=f"c{number}")
             self.store.propose(change, 0)
-        with self.assertRaises(client.MustList):
+        with self.assertRaises(client.WatchExpired):
             next(self.client.watch_services(0))
 
-    def test_watch_gives_up_with_growing_pauses(self):
+    def test_watch_backs_off_and_gives_up(self):
         with self.assertRaises(client.Unreachable):
             next(self.make_client(DEAD).watch_services())
         self.assertEqual(self.pauses[:3], [0.2, 0.4, 0.8])
-        self.assertEqual(len(self.pauses), client.WATCH_ROUNDS - 1)
+        self.assertEqual(len(self.pauses), client.MAX_FAILED_ROUNDS - 1)
 
 
 if __name__ == "__main__":
--- a/test/operators/test_commands.py
+++ b/test/operators/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of how the operators' commands print."""
+"""Tests of the output of the operators' commands."""
 
 import argparse
 import contextlib
@@ -9,7 +9,7 @@
 
 
 class Unbuffered(io.StringIO):
-    """Standard output without a buffer: each write goes out by itself."""
+    """Unbuffered standard output that records each write."""
 
     def __init__(self):
         super().__init__()
@@ -22,10 +22,11 @@
 
 
 class PrintTest(unittest.TestCase):
-    def test_a_line_goes_out_whole(self):
-        """An operator watches changes beside other commands in one terminal.
+    def test_a_line_is_printed_in_one_write(self):
+        """A watch and other commands print to the same terminal.
 
-        A line whose end is written by itself has the watch's line inside it.
+        If a line and its line end were two writes, a line of the watch could be
+        printed between them.
         """
         for output in ("text", "json"):
             stream = Unbuffered()
--- a/test/operators/test_pages.py
+++ b/test/operators/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the pages for people say what the code does."""
+"""Tests that the documentation pages match the code."""
 
 import json
 import pathlib
@@ -17,14 +17,14 @@
 
 
 def read_examples(text):
-    """Return the JSON resources that a page shows."""
+    """Yield the JSON resources that a page contains as examples."""
     decoder = json.JSONDecoder()
     for match in re.finditer(r'\{\s*"kind": "Service",\s*"name"', text):
         yield decoder.raw_decode(text, match.start())[0]
 
 
 def read_rows(text):
-    """Return the cells of all table rows."""
+    """Return the cells of all table rows of a page."""
     lines = [line for line in text.splitlines() if line.startswith("|")]
     return [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
 
@@ -69,14 +69,14 @@
             self.assertIn(str(limit), page)
         self.assertIn(f"{headers.LONGEST_KEY} characters", page)
 
-    def test_examples_of_resources_are_right(self):
+    def test_examples_of_resources_are_valid(self):
         for page in ("reference/resources.md", "guides/operators.md"):
             examples = list(read_examples(read_page(page)))
             self.assertTrue(examples, page)
             for example in examples:
                 resources.check_resource(example)
 
-    def test_commands_are_known(self):
+    def test_commands_can_be_parsed(self):
         page = read_page("guides/operators.md")
         found = re.findall(r"^ {4}whinwinch (.*)$", page, re.MULTILINE)
         self.assertGreater(len(found), 6)
@@ -106,12 +106,14 @@
         self.assertGreater(len(codes), 10)
         for code in codes:
             self.assertIn(f"`{code}`", page)
-        self.assertIn(f"every {forms.HEARTBEAT:g} s", page)
-        self.assertIn(f"After {client.WATCH_SILENCE:g} s", page)
+        self.assertIn(f"every {forms.HEARTBEAT_INTERVAL:g} s", page)
+        self.assertIn(f"After {client.WATCH_READ_TIMEOUT:g} s", page)
 
     def test_limits_of_tokens(self):
         page = read_page("guides/operators.md")
-        self.assertIn(f"{access.MIN_TOKEN} to {access.MAX_TOKEN} printable", page)
+        self.assertIn(
+            f"{access.MIN_TOKEN_LENGTH} to {access.MAX_TOKEN_LENGTH} printable", page
+        )
 
 
 if __name__ == "__main__":
--- a/test/operators/test_server.py
+++ b/test/operators/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the server for operators."""
+"""Tests of the HTTP server for operators."""
 
 import http.client
 import socket
@@ -32,23 +32,23 @@
         connection.request("GET", path)
         return connection.getresponse().status
 
-    def test_serves_only_below_its_mount(self):
+    def test_serves_only_paths_under_its_mount(self):
         self.addCleanup(self.stop)
         self.assertEqual(self.ask("/admin/v1/services"), 200)
         self.assertEqual(self.ask("/services/catalog/x"), 404)
 
-    def test_stops_though_its_port_is_taken_at_once(self):
-        """Another program listens at the port the moment the daemon leaves it.
+    def test_stops_although_its_port_is_reused_at_once(self):
+        """Another program listens on the port as soon as the server has stopped.
 
-        Taken for a stop that failed, the daemon would end with an error, and
-        whoever replaces it would look for a fault.
+        If the server treated this as a failed stop, the daemon would exit with an
+        error although nothing is wrong.
         """
         self.ask("/admin/x")
         self.stop()
         with socket.create_server(self.address, reuse_port=False):
             self.stop()
 
-    def test_an_address_in_use_is_told_at_the_start(self):
+    def test_start_fails_if_the_address_is_in_use(self):
         self.addCleanup(self.stop)
         with self.assertRaises(OSError):
             server.start_server(self.address, answer, SETTINGS)
--- a/test/operators/test_store.py
+++ b/test/operators/test_store.py
@@ -17,7 +17,7 @@
 
 
 def put_many(subject, count, body=None, first=0):
-    """Accept a number of changes to one service."""
+    """Propose several consecutive changes of one service."""
     for number in range(first, first + count):
         change = fakes.make_change(
             replaces=number,
@@ -44,10 +44,10 @@
         self.store.propose(fakes.make_change(replaces=1, change_id="c2"), 1)
         self.assertEqual(self.store.snapshot().list_resources("Service"), [])
 
-    def test_of_two_racing_operators_one_is_told_of_the_conflict(self):
-        """Two operators change the same service, both having read version 0.
+    def test_one_of_two_concurrent_changes_is_rejected(self):
+        """Two operators read version 0 of a service and both change it.
 
-        Were both told that all went well, one's change would be lost unseen.
+        If both changes were accepted, one would be overwritten unnoticed.
         """
         first = self.store.propose(fakes.make_change(body={}, change_id="a"), 1)
         second = self.store.propose(fakes.make_change(body={}, change_id="b"), 1)
@@ -56,11 +56,11 @@
         accepted = [entry.accepted for entry in self.store.list_history()]
         self.assertEqual(accepted, [False, True])
 
-    def test_lost_answer_is_settled_by_reading_on(self):
-        """The log takes a change but its answer is lost.
+    def test_lost_answer_is_resolved_by_reading_the_log(self):
+        """The log stores a change but its answer is lost.
 
-        An operator who is told that it failed makes it again, over the change
-        of a colleague in between.
+        If a failure were reported, the operator would make the change again and
+        overwrite another operator's change made in between.
         """
         self.log.fault, self.log.keeps = fakes.LogDown(None), True
         with self.assertLogs(level="WARNING"):
@@ -68,7 +68,7 @@
         self.assertEqual(verdict.decision, store.Decision.ACCEPTED)
 
     def test_unread_change_is_unknown(self):
-        """The log's answer is lost and the log can't be read either."""
+        """The log's answer is lost and the log cannot be read either."""
         self.log.fault = fakes.LogDown(None)
         with self.assertLogs(level="WARNING"):
             verdict = self.store.propose(fakes.make_change(body={}), 0)
@@ -78,11 +78,11 @@
             verdict = self.store.propose(fakes.make_change(body={}), 0)
         self.assertEqual(verdict.decision, store.Decision.NOT_WRITTEN)
 
-    def test_change_copied_by_the_log_keeps_its_first_verdict(self):
-        """The log takes one append twice, as after a repeat on the way to it.
+    def test_duplicate_change_keeps_its_first_verdict(self):
+        """The log stores one append twice, as after a retry on the way to it.
 
-        The copy conflicts with the first, and a change in force would be
-        reported as refused.
+        The duplicate conflicts with the first copy. Its verdict must not replace
+        the first one, or a change in force would be reported as rejected.
         """
         change = fakes.make_change(body={})
         self.log.records.append(configuration.encode_change(change))
@@ -96,10 +96,10 @@
         self.assertEqual(self.store.wait_changes(5, 0), ())
         self.assertEqual(self.store.wait_changes(99, 0), ())
 
-    def test_changes_are_kept_within_bounds(self):
-        """A watcher comes back after the changes it misses were dropped.
+    def test_number_of_stored_changes_is_bounded(self):
+        """A watcher resumes after the changes that it missed were dropped.
 
-        It has to be told, or its picture would stay wrong unseen.
+        It has to receive an error, or its state would stay wrong unnoticed.
         """
         put_many(self.store, configuration.MAX_HISTORY + 1)
         found = self.store.wait_changes(1, 0)
@@ -107,11 +107,11 @@
         with self.assertRaises(store.VersionTooOld):
             self.store.wait_changes(0, 0)
 
-    def test_verdict_comes_with_a_snapshot(self):
-        """A daemon falls behind while its operator's change is under way.
+    def test_verdict_from_a_snapshot(self):
+        """A daemon falls behind while an operator's change is pending.
 
-        It catches up by a peer's snapshot and never reads the change itself.
-        The operator still has to learn that it is in force.
+        It catches up with a peer's snapshot and never reads the change itself. The
+        operator still has to receive the verdict that the change is in force.
         """
         other = make_store(self.log)
         self.log.stores = [other]
@@ -130,7 +130,7 @@
         with self.assertRaises(store.VersionTooOld):
             behind.wait_changes(0, 0)
 
-    def test_waiting_ends_with_a_change_and_with_closing(self):
+    def test_waiting_ends_on_a_change_and_on_close(self):
         found = []
         waiter = threading.Thread(
             target=lambda: found.append(self.store.wait_changes(0, 60))
@@ -145,8 +145,8 @@
         waiter.join(30)
         self.assertFalse(waiter.is_alive())
 
-    def test_unreadable_record_is_taken_as_far_as_possible(self):
-        """Something wrote a record to the log past the API."""
+    def test_unreadable_fields_get_their_defaults(self):
+        """A record with an unreadable field was written to the log without the API."""
         body = {"timeout": "soon", "retry_budget": 1}
         with self.assertLogs(level="ERROR"):
             self.store.propose(fakes.make_change(body=body), 1)
--- a/test/operators/test_strictness.py
+++ b/test/operators/test_strictness.py
@@ -1,4 +1,4 @@
-"""Tests for requests that could be read in two ways."""
+"""Tests of the rejection of ambiguous requests."""
 
 import io
 import unittest
@@ -12,26 +12,26 @@
 
 
 class StrictnessTest(unittest.TestCase):
-    def test_two_lengths(self):
-        """A proxy in front takes the first length, this daemon the second.
+    def test_repeated_length_is_rejected(self):
+        """A proxy uses the first length and the daemon the second.
 
-        The rest of the body would be served as the request of another caller.
+        The rest of the body would be parsed as a request of another caller.
         """
         with self.assertRaises(ValueError):
             read(b"Content-Length: 3", b"content-length: 4")
 
-    def test_two_keys(self):
+    def test_repeated_key_is_rejected(self):
         with self.assertRaises(ValueError):
             read(b"Idempotency-Key: a", b"Idempotency-Key: b")
 
-    def test_a_length_beside_chunks(self):
+    def test_length_with_transfer_encoding_is_rejected(self):
         with self.assertRaises(ValueError):
             read(b"Content-Length: 3", b"Transfer-Encoding: chunked")
 
-    def test_a_name_with_an_underscore_stands_for_nothing(self):
+    def test_name_with_an_underscore_is_dropped(self):
         self.assertEqual({}, read(b"Idempotency_Key: a"))
 
-    def test_lists_are_joined(self):
+    def test_list_headers_are_joined(self):
         headers = read(b"Accept: a", b"Accept: b", b"Host: x")
         self.assertEqual({b"Accept": b"a, b", b"Host": b"x"}, headers)
 
--- a/whinwinch/operators/access.py
+++ b/whinwinch/operators/access.py
@@ -1,7 +1,7 @@
-"""Who may use the resource API, and which daemons may call each other.
+"""Authentication of operators to the resource API and of daemons to each other.
 
-Of operators' tokens only digests are kept. A token that stood in an object could
-get into a log line or a traceback through its `repr`; its digest there is harmless.
+Only digests of operators' tokens are stored. The `repr` of an object with the token
+itself could leak it into a log line or a traceback.
 """
 
 import hashlib
@@ -12,19 +12,19 @@
 from .. import errors
 
 AUTHOR_PATTERN = re.compile(r"[A-Za-z0-9._@-]{1,64}")
-# 16 letters of a random base64 text are 96 bits, out of reach of guessing over
-# a network.
-MIN_TOKEN = 16
-MAX_TOKEN = 512
+# Token lengths in characters. 16 random base64 characters are 96 bits, too many to
+# guess over a network.
+MIN_TOKEN_LENGTH = 16
+MAX_TOKEN_LENGTH = 512
 SCHEME = "bearer"
 
 
 class Operator(NamedTuple):
-    """Someone who may change resources.
+    """An operator who may change resources.
 
     Attributes:
-        author: Name that goes into the history.
-        digest: SHA-256 of the token.
+        author: Name recorded in the history.
+        digest: SHA-256 digest of the operator's token.
     """
 
     author: str
@@ -32,10 +32,10 @@
 
 
 class AccessError(errors.UserError):
-    """The request carries no token that is known here.
+    """The request carries no valid operator token.
 
     Attributes:
-        closed: Whether no token at all would be, because none is set.
+        closed: Whether the API accepts no token because none is configured.
     """
 
     def __init__(self, problem, closed=False):
@@ -44,18 +44,18 @@
 
 
 def parse_operators(text, place="WHINWINCH_OPERATOR_TOKENS"):
-    """Read the operators' tokens from a setting.
+    """Parse the setting with the operators' tokens.
 
     Args:
-        text: ``author:token`` pairs with commas between them. An author may
-            have several tokens, so that a token can be replaced without a gap.
+        text: Comma-separated ``author:token`` pairs. An author may have several
+            tokens, so that a token can be rotated without interruption.
         place: Name of the setting, for findings.
 
     Returns:
         A tuple of `Operator`.
 
     Raises:
-        errors.InputErrors: With all findings; none shows a token.
+        errors.InputErrors: With all findings; no finding contains a token.
     """
     operators = []
     findings = []
@@ -63,12 +63,12 @@
         author, _, token = pair.partition(":")
         where = f"{place}[{index}]"
         if not AUTHOR_PATTERN.fullmatch(author):
-            problem = "has to be AUTHOR:TOKEN, the author 1 to 64 of A-Za-z0-9._@-"
+            problem = "must be AUTHOR:TOKEN, with 1 to 64 of A-Za-z0-9._@- in AUTHOR"
             findings.append(errors.Finding(where, problem))
         findings.extend(_check_token(token, where))
         digest = digest_token(token)
-        if any(hmac.compare_digest(digest, known.digest) for known in operators):
-            problem = "has the same token as another, so the author is not certain"
+        if any(hmac.compare_digest(digest, other.digest) for other in operators):
+            problem = "duplicates another token, so the author would be ambiguous"
             findings.append(errors.Finding(where, problem))
         operators.append(Operator(author, digest))
     errors.raise_findings("operators' tokens", findings)
@@ -76,16 +76,17 @@
 
 
 def check_peer_setting(text, place="WHINWINCH_PEER_TOKEN"):
-    """Check the setting with the tokens that daemons show each other.
+    """Validate the setting with the tokens that daemons authenticate with.
 
     Args:
-        text: Tokens with commas between them. The first is sent, all are
-            taken, so that a new one can be brought in without a gap: add it
-            last everywhere, then move it first, then drop the old one.
+        text: Comma-separated tokens. The first one is sent and all are accepted,
+            so that a token can be rotated without interruption: append the new
+            token at all daemons, then move it to the front, then remove the old
+            one.
         place: Name of the setting, for findings.
 
     Raises:
-        errors.InputErrors: With all findings; none shows a token.
+        errors.InputErrors: With all findings; no finding contains a token.
     """
     findings = [
         finding
@@ -96,12 +97,12 @@
 
 
 def choose_peer_token(text):
-    """Return the token to send to other daemons, "" when none is set."""
+    """Return the token to send to other daemons, or "" if none is configured."""
     return next(iter(_split(text)), "")
 
 
 def find_author(operators, header):
-    """Return the author that an ``Authorization`` header's token belongs to.
+    """Return the author whose token an ``Authorization`` header contains.
 
     Args:
         operators: Tuple of `Operator`.
@@ -111,40 +112,40 @@
         The author's name.
 
     Raises:
-        AccessError: When there is none.
+        AccessError: If the header contains no valid token.
     """
     if not operators:
-        problem = "this daemon has no operators' tokens, so its admin API is closed"
+        problem = "the admin API is closed because no operator tokens are configured"
         raise AccessError(f"{problem}; set WHINWINCH_OPERATOR_TOKENS", closed=True)
     scheme, _, token = (header or "").strip().partition(" ")
     if scheme.lower() != SCHEME or not token.strip():
-        raise AccessError("send 'Authorization: Bearer TOKEN'")
+        raise AccessError("the header 'Authorization: Bearer TOKEN' is required")
     digest = digest_token(token.strip())
     author = None
-    # All are compared, whichever fits: a loop that ended at the first that does
-    # would tell by its duration which operator a token belongs to.
+    # Compare all digests even after a match: if the loop ended at the first match,
+    # its duration would reveal which operator a token belongs to.
     for operator in operators:
         if hmac.compare_digest(operator.digest, digest):
             author = operator.author
     if author is None:
-        raise AccessError("the token is not known here")
+        raise AccessError("the token is invalid")
     return author
 
 
 def check_peer_token(token, text):
-    """Return whether another daemon's token is known.
+    """Return whether another daemon's token is valid.
 
     Args:
-        token: What the daemon showed.
-        text: The setting, as for `check_peer_setting`.
+        token: Token that the other daemon sent.
+        text: Comma-separated tokens, as for `check_peer_setting`.
     """
-    given = token.encode("utf-8", "replace")
-    matches = [hmac.compare_digest(known.encode(), given) for known in _split(text)]
+    sent = token.encode("utf-8", "replace")
+    matches = [hmac.compare_digest(valid.encode(), sent) for valid in _split(text)]
     return any(matches)
 
 
 def digest_token(token):
-    """Return the SHA-256 of a token."""
+    """Return the SHA-256 digest of a token."""
     return hashlib.sha256(token.encode("utf-8", "surrogateescape")).digest()
 
 
@@ -153,9 +154,11 @@
 
 
 def _check_token(token, place):
-    if not MIN_TOKEN <= len(token) <= MAX_TOKEN:
-        problem = f"has a token of {len(token)} letters"
-        right = f"{MIN_TOKEN} to {MAX_TOKEN} are right"
-        yield errors.Finding(place, f"{problem}; {right}")
+    if not MIN_TOKEN_LENGTH <= len(token) <= MAX_TOKEN_LENGTH:
+        problem = f"has a token of {len(token)} characters"
+        limits = f"{MIN_TOKEN_LENGTH} to {MAX_TOKEN_LENGTH} are allowed"
+        yield errors.Finding(place, f"{problem}; {limits}")
     elif not (token.isascii() and token.isprintable()) or " " in token:
-        yield errors.Finding(place, "has a token with spaces or odd letters")
+        yield errors.Finding(
+            place, "has a token with spaces or characters other than printable ASCII"
+        )
--- a/whinwinch/operators/api.py
+++ b/whinwinch/operators/api.py
@@ -1,9 +1,8 @@
 """The resource API as a cherrypy application.
 
-Everything it needs is injected, so that it runs in tests without a daemon. Each
-page handler returns JSON bytes or raises `ApiError`; one wrapper around all of
-them checks the token and turns errors into their JSON form, so that no handler
-can forget to.
+All dependencies are injected, so that the API runs in tests without a daemon. Each
+handler returns JSON bytes or raises `ApiError`. One wrapper around all handlers
+checks the token and converts errors to JSON, so that no handler can omit it.
 """
 
 import functools
@@ -20,31 +19,31 @@
 from .problems import ApiError
 
 JSON_TYPE = "application/json"
-LINES_TYPE = "application/x-ndjson"
+JSON_LINES_TYPE = "application/x-ndjson"
 
-# Seconds. An answer of the log takes milliseconds; a request thread is not held
-# for longer than a person waits.
+# Seconds that a request waits for the log, which normally answers in milliseconds.
+# Longer than this an operator would not wait, and the thread stays blocked.
 PROPOSE_TIMEOUT = 5.0
 MAX_HISTORY_LIMIT = 1000
 DEFAULT_HISTORY_LIMIT = 100
-# Seconds after which a place for a watch may have become free.
-WATCH_PAUSE = 5
+# Retry-After in seconds if the maximum number of watches is reached.
+WATCH_RETRY_AFTER = 5
 
 
 class Parts(NamedTuple):
-    """What the API works with.
+    """Dependencies and limits of the API.
 
     Attributes:
         store: The `store.Store`.
-        operators: Tuple of `access.Operator`; empty closes the API.
+        operators: Tuple of `access.Operator`; if empty, the API is closed.
         find_status: Returns the JSON form of the daemon's status.
-        begin_drain: Lets the daemon and its backend server begin to leave;
-            called from a request's thread, returns at once.
+        begin_drain: Starts draining the daemon and its backend server; called
+            from a request thread, returns immediately. None if unsupported.
         render_metrics: Returns the metrics as text.
-        max_key_window: Longest window for keys in seconds.
-        max_watchers: Most watches at once.
+        max_key_window: Maximum key window of a resource in seconds.
+        max_watchers: Maximum number of concurrent watches.
         write_time: Returns the wall-clock time as text, for the history.
-        clock: Returns the time in seconds that timeouts are measured with.
+        clock: Returns the time in seconds, for the timeouts of watches.
         propose_timeout: Seconds for which a request waits for the log.
     """
 
@@ -63,7 +62,7 @@
 
 
 def create_application(parts):
-    """Return the resource API, to be mounted at `forms.MOUNT`.
+    """Return the application that serves the resource API at `forms.MOUNT`.
 
     Args:
         parts: `Parts`.
@@ -74,13 +73,13 @@
     config = {
         "/": {
             "request.dispatch": _create_dispatcher(parts.operators),
-            # Bodies are read by the handlers, with a limit.
+            # The handlers read the bodies themselves to enforce a size limit.
             "request.process_request_body": False,
             "request.show_tracebacks": False,
         }
     }
     application = cherrypy.Application(_Root(parts), forms.MOUNT, config)
-    # Changes have a log line of their own, with author and decision.
+    # Changes are logged separately, with their author and decision.
     application.log.access_log.propagate = False
     return application
 
@@ -110,7 +109,7 @@
         self._watchers = watch.Watchers(parts.max_watchers)
 
     def GET(self, name=None, **query):
-        """Return a service, the list of all, or a watch."""
+        """Return one service, the list of all services, or a watch stream."""
         _require_ready(self._store)
         if name is not None:
             inputs.check_query(query, ())
@@ -126,12 +125,12 @@
         inputs.check_query(query, ())
         document = inputs.read_body()
         body = inputs.check_document(document, name, self._parts.max_key_window)
-        present = self._find(name)
+        present = self._find_service(name)
         condition = inputs.read_condition(present)
         verdict = self._propose(name, body, condition, present)
         if verdict.resource is None:
-            # A repeated request: the change was accepted before, and somebody
-            # has changed the resource since.
+            # The request is a repeat of a change that was accepted earlier, and
+            # the resource has been changed since.
             return _encode(forms.ChangeAnswer(name=name, version=verdict.version))
         return _answer_service(verdict.resource, 200 if condition else 201)
 
@@ -139,16 +138,16 @@
         """Delete a service."""
         _require_ready(self._store)
         inputs.check_query(query, ())
-        present = self._find(name)
+        present = self._find_service(name)
         condition = inputs.read_condition(present)
         verdict = self._propose(name, None, condition, present)
         return _encode(forms.ChangeAnswer(name=name, version=verdict.version))
 
-    def _find(self, name):
+    def _find_service(self, name):
         return self._store.snapshot().find_resource(resources.KIND_SERVICE, name)
 
     def _answer_one(self, name):
-        resource = self._find(name)
+        resource = self._find_service(name)
         if resource is None:
             raise problems.describe_missing(name)
         return _answer_service(resource)
@@ -163,26 +162,28 @@
     def _answer_watch(self, query):
         wanted = inputs.parse_watch(query, self._store)
         if self._store.closed:
-            raise ApiError(503, "stopping", "this daemon stops", retry_after=1)
+            raise ApiError(503, "stopping", "the daemon is stopping", retry_after=1)
         try:
             self._store.wait_changes(wanted.version, 0)
         except store.VersionTooOld as error:
             raise ApiError(410, "version-too-old", str(error)) from error
         if not self._watchers.try_enter():
-            problem = f"this daemon has {self._watchers.limit} watches already"
-            raise ApiError(429, "too-many-watches", problem, retry_after=WATCH_PAUSE)
-        # The place is given back when the request ends, however it does. A
-        # `finally` in the stream would not run for a client that leaves before
-        # the first line, and the places would be used up one by one.
+            problem = f"the daemon already has {self._watchers.limit} watches"
+            raise ApiError(
+                429, "too-many-watches", problem, retry_after=WATCH_RETRY_AFTER
+            )
+        # Release the watch's place when the request ends, whatever the reason. A
+        # `finally` in the stream would not run if the client disconnects before
+        # the first line, and the places would leak one by one.
         request = cherrypy.serving.request
         request.hooks.attach("on_end_request", self._watchers.leave)
         response = cherrypy.serving.response
         response.stream = True
-        response.headers["Content-Type"] = LINES_TYPE
+        response.headers["Content-Type"] = JSON_LINES_TYPE
         return watch.stream_changes(self._store, wanted, self._parts.clock)
 
     def _propose(self, name, body, replaces, present):
-        """Propose a change; return the verdict of one that was accepted."""
+        """Propose a change and return its verdict if it was accepted."""
         author = cherrypy.serving.request.login
         change = configuration.Change(
             change_id=inputs.choose_change_id(author, name, body),
@@ -210,14 +211,16 @@
             verdict.version,
         )
         if verdict.decision is store.Decision.REJECTED:
-            raise problems.describe_conflict(name, self._find(name), change.change_id)
+            raise problems.describe_conflict(
+                name, self._find_service(name), change.change_id
+            )
         if verdict.decision is not store.Decision.ACCEPTED:
             raise problems.describe_undecided(verdict, change.change_id)
         return verdict
 
 
 class _History:
-    """``/admin/v1/history``: who changed what, and when."""
+    """``/admin/v1/history``: the changes, with their authors and times."""
 
     exposed = True
 
@@ -225,7 +228,7 @@
         self._store = parts.store
 
     def GET(self, **query):
-        """Return the changes read by this daemon, the newest first."""
+        """Return the changes that this daemon has read, newest first."""
         inputs.check_query(query, ("limit", "name", "change_id"))
         limit = inputs.parse_number(
             query, "limit", DEFAULT_HISTORY_LIMIT, MAX_HISTORY_LIMIT, int
@@ -241,7 +244,7 @@
 
 
 class _Status:
-    """``/admin/v1/status``: what the daemon knows of itself and the mesh."""
+    """``/admin/v1/status``: state of the daemon and its view of the mesh."""
 
     exposed = True
 
@@ -255,7 +258,7 @@
 
 
 class _Drain:
-    """``/admin/v1/drain``: lets the daemon and its backend server leave."""
+    """``/admin/v1/drain``: drains the daemon and its backend server."""
 
     exposed = True
 
@@ -263,10 +266,12 @@
         self._parts = parts
 
     def POST(self, **query):
-        """Begin to leave and return the status; asking twice does no harm."""
+        """Start draining and return the status; idempotent."""
         inputs.check_query(query, ())
         if self._parts.begin_drain is None:
-            raise ApiError(501, "no-drain", "this daemon can't be drained from here")
+            raise ApiError(
+                501, "no-drain", "this daemon cannot be drained through the API"
+            )
         logging.info("drain author=%s", cherrypy.serving.request.login)
         self._parts.begin_drain()
         cherrypy.serving.response.status = 202
@@ -274,7 +279,7 @@
 
 
 class _Metrics:
-    """``/admin/v1/metrics``."""
+    """``/admin/v1/metrics``: metrics of the daemon."""
 
     exposed = True
 
@@ -302,7 +307,7 @@
 
 
 def _answer(handler, operators):
-    """Run a page handler for a known operator; turn errors into JSON."""
+    """Authenticate the operator, run a handler and convert errors to JSON."""
     request = cherrypy.serving.request
     response = cherrypy.serving.response
     response.headers["Content-Type"] = JSON_TYPE
@@ -340,10 +345,10 @@
 
 
 def _require_ready(resource_store):
-    # A daemon that has not read the log yet knows no resources. A list would be
-    # empty and a change would replace "nothing": both plainly wrong.
+    # Before the daemon has read the log, a list would be empty and a change would
+    # assume that the resource does not exist. Both would be wrong.
     if not resource_store.ready:
-        problem = "this daemon has not read the configuration yet"
+        problem = "the daemon has not read the configuration yet"
         raise ApiError(
             503, "not-ready", problem, retry_after=1, may_have_taken_effect=False
         )
--- a/whinwinch/operators/client.py
+++ b/whinwinch/operators/client.py
@@ -1,8 +1,9 @@
 """Client of the resource API, for the commands and for operators' tooling.
 
-Any daemon will do, so a client has several addresses and goes to the next when
-one fails. A change carries a key, by which all daemons know it again: it can be
-sent to a second daemon after an answer was lost, and still takes effect once.
+Every daemon serves the same API, so a client has the addresses of several and fails
+over to the next one. A change carries an idempotency key that all daemons
+recognise: it can be sent to a second daemon after the answer of the first was lost,
+and still takes effect only once.
 """
 
 import json
@@ -17,42 +18,43 @@
 from .. import errors
 from . import forms
 
-# Seconds. The daemon itself waits up to 5 for the log.
+# Seconds for a request; longer than the 5 s for which the daemon waits for the log.
 DEFAULT_TIMEOUT = 10.0
-# Seconds without a line after which a watch is taken for broken; a daemon sends
-# one every `forms.HEARTBEAT`.
-WATCH_SILENCE = 3 * forms.HEARTBEAT
+# Seconds without a line after which a watch counts as broken; a daemon sends a line
+# at least every `forms.HEARTBEAT_INTERVAL`.
+WATCH_READ_TIMEOUT = 3 * forms.HEARTBEAT_INTERVAL
+# Seconds after which the daemon ends a watch; the client then opens the next one.
 WATCH_TIMEOUT = 600.0
-# Seconds between rounds over all daemons that all failed; doubled each round.
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 5.0
-# Answers that another daemon may not give.
-RETRIED_ELSEWHERE = frozenset({429, 500, 502, 503, 504})
-# Rounds in a row without any line after which a watch gives up.
-WATCH_ROUNDS = 10
+# Seconds to wait after all daemons failed in turn; doubled after each round.
+INITIAL_BACKOFF = 0.2
+MAX_BACKOFF = 5.0
+# Statuses after which the request is sent to the next daemon.
+FAILOVER_STATUSES = frozenset({429, 500, 502, 503, 504})
+# Consecutive failed rounds over all daemons after which a watch gives up.
+MAX_FAILED_ROUNDS = 10
 
 
 class ClientError(errors.UserError):
-    """A request to the resource API that did not succeed."""
+    """A request to the resource API failed."""
 
 
 class Unreachable(ClientError):
-    """No daemon gave a usable answer; nothing was changed."""
+    """No daemon returned a usable response; nothing was changed."""
 
 
 class AccessDenied(ClientError):
-    """The token is not known, or the daemon's API is closed."""
+    """The token is invalid, or the daemon's API is closed."""
 
 
 class NotFound(ClientError):
-    """There is no such resource."""
+    """The resource does not exist."""
 
 
 class Conflict(ClientError):
-    """Somebody else has changed the resource.
+    """The resource is not at the version that the change replaces.
 
     Attributes:
-        present_version: Its present version, 0 when it does not exist.
+        present_version: Current version of the resource, 0 if it does not exist.
     """
 
     def __init__(self, problem, present_version):
@@ -61,10 +63,11 @@
 
 
 class Undecided(ClientError):
-    """The change may have taken effect, or still may.
+    """The change may have taken effect or may still do so.
 
     Attributes:
-        change_id: Its identifier in the history, "" when no daemon named it.
+        change_id: Identifier of the change in the history, "" if no daemon
+            returned it.
     """
 
     def __init__(self, problem, change_id=""):
@@ -72,12 +75,16 @@
         self.change_id = change_id
 
 
-class MustList(ClientError):
-    """Changes after the watch's version are forgotten: list and watch anew."""
+class WatchExpired(ClientError):
+    """Changes after the watch's version are gone: list and watch again."""
 
 
 class Refused(ClientError):
-    """Any other refusal, with its code."""
+    """The API refused the request for any other reason.
+
+    Attributes:
+        code: Error code of the API.
+    """
 
     def __init__(self, problem, code):
         super().__init__(problem)
@@ -85,14 +92,15 @@
 
 
 class Service(NamedTuple):
-    """A resource as the API gives it.
+    """A service resource as returned by the API.
 
     Attributes:
         name: Name of the service.
-        version: Its version; state it to change just this one.
-        spec: Its specification in JSON form.
-        author: Who made it so.
-        changed: When, in seconds of the log's clock.
+        version: Version of the resource; pass it as `replaces` to change only
+            this version.
+        spec: Specification in JSON form.
+        author: Operator who made the last change.
+        changed: Time of the last change, in seconds of the log's clock.
     """
 
     name: str
@@ -103,7 +111,12 @@
 
 
 class Listing(NamedTuple):
-    """All services, and the version of the collection to watch from."""
+    """All services and the version of the collection to watch from.
+
+    Attributes:
+        version: Version of the collection.
+        services: All services.
+    """
 
     version: int
     services: tuple[Service, ...]
@@ -113,11 +126,11 @@
     """A change that took effect.
 
     Attributes:
-        version: Version of the collection that it made.
+        version: Version of the collection after the change.
         name: Name of the service.
-        spec: The specification in JSON form, None after a deletion.
-        author: Who made it.
-        changed: When, in seconds of the log's clock.
+        spec: New specification in JSON form, None for a deletion.
+        author: Operator who made the change.
+        changed: Time of the change, in seconds of the log's clock.
     """
 
     version: int
@@ -128,18 +141,23 @@
 
 
 class Reply(NamedTuple):
-    """The HTTP status of an answer and its JSON body."""
+    """A response of the API.
+
+    Attributes:
+        status: HTTP status.
+        document: Decoded JSON body.
+    """
 
     status: int
     document: dict
 
 
-class _NoAnswer(Exception):
-    """One daemon gave no usable answer.
+class _DaemonFailed(Exception):
+    """One daemon returned no usable response.
 
     Attributes:
-        sent: Whether the request may have reached it.
-        change_id: Identifier of the change, if the daemon named it.
+        sent: Whether the request may have reached the daemon.
+        change_id: Identifier of the change, "" if the daemon did not return it.
     """
 
     def __init__(self, problem, sent, change_id=""):
@@ -149,13 +167,14 @@
 
 
 class Client:
-    """Connections to the daemons of a mesh; for one thread.
+    """Client of the daemons of one mesh; not safe for several threads.
 
     Args:
         servers: URLs of daemons, such as ``http://10.0.0.7:7300``.
         token: The operator's token.
-        timeout: Seconds for each request.
-        sleep: Function that pauses for some seconds, between failed rounds.
+        timeout: Timeout of each request in seconds.
+        sleep: Function that sleeps for a number of seconds, for the backoff
+            between failed rounds.
     """
 
     def __init__(
@@ -180,15 +199,15 @@
 
         Args:
             document: JSON form of the resource.
-            replaces: Version that must be the present one, 0 when the service
-                must not exist yet, None for whatever is there.
+            replaces: Required current version, 0 if the service must not exist
+                yet, None for any version.
 
         Returns:
-            The version of the service that the change made.
+            The version of the service after the change.
 
         Raises:
-            errors.InputErrors: When the resource has errors, with all findings.
-            ClientError: When it did not succeed, of a type that says why.
+            errors.InputErrors: If the resource is invalid, with all findings.
+            ClientError: If the change failed; the subclass tells the cause.
         """
         name = document.get("name") if isinstance(document, dict) else None
         if not isinstance(name, str) or not name:
@@ -199,16 +218,16 @@
         """Delete a service; arguments and errors as for `apply_service`.
 
         Returns:
-            The version of the collection that the change made.
+            The version of the collection after the deletion.
         """
         return self._change("DELETE", name, replaces, None)
 
     def get_service(self, name):
-        """Return a `Service`."""
+        """Return the `Service` of a name."""
         return _parse_service(self._read(f"/services/{_quote(name)}"))
 
     def list_services(self):
-        """Return a `Listing`."""
+        """Return a `Listing` of all services."""
         document = self._read("/services")
         services = tuple(_parse_service(form) for form in document["services"])
         return Listing(document["version"], services)
@@ -218,97 +237,97 @@
         return self._read("/status")
 
     def drain(self):
-        """Let the first daemon and its backend server begin to leave.
+        """Start draining the first daemon and its backend server.
 
-        No other daemon is asked when it doesn't answer: that one would leave in
-        its place.
+        There is no failover to another daemon, which would be drained instead.
 
         Returns:
-            The JSON form of its status.
+            The JSON form of the daemon's status.
         """
         try:
-            return _check_reply(self._ask("POST", "/drain")).document
-        except _NoAnswer as error:
+            return _check_reply(self._send("POST", "/drain")).document
+        except _DaemonFailed as error:
             if error.sent:
-                advice = "it may be leaving: look at its status"
+                advice = "the daemon may be draining: check its status"
                 raise Undecided(f"{error}; {advice}") from error
             raise Unreachable(str(error)) from error
 
     def read_history(self, limit=100):
-        """Return the JSON forms of the last changes, the newest first."""
+        """Return the JSON forms of the last changes, newest first."""
         return self._read(f"/history?limit={limit}")["changes"]
 
     def watch_services(self, version=None):
-        """Yield the `WatchEvent`s after a version, without end.
+        """Yield the `WatchEvent`s after a version, indefinitely.
 
-        After a cut it goes on at the next daemon from the last version seen, so
-        that no change is missed or repeated.
+        After a disconnect the watch resumes at the next daemon from the last
+        version received, so that no change is missed or repeated.
 
         Args:
-            version: Version of the collection to go on from, None for the
-                present one.
+            version: Version of the collection to start from, None for the
+                current one.
 
         Raises:
-            MustList: When changes after the version are forgotten.
-            ClientError: When the token isn't taken, or no daemon has answered
-                for `WATCH_ROUNDS` rounds.
+            WatchExpired: If changes after the version are no longer stored.
+            ClientError: If the token is rejected, or all daemons failed in
+                `MAX_FAILED_ROUNDS` consecutive rounds.
         """
         failures = 0
         while True:
-            problem = "the watch was cut"
+            problem = "the watch was disconnected"
             try:
                 for count, line in enumerate(self._stream(version)):
                     version = line["version"]
                     if line["type"] != forms.TYPE_CURRENT:
                         yield _parse_event(line)
-                    # Each stream opens with a line; only a second one shows that
-                    # it works. A daemon that is stopping ends it after the first.
+                    # Every stream starts with a line, and a stopping daemon ends
+                    # the stream after it. Only a second line shows that the watch
+                    # works.
                     if count:
                         failures = 0
-            except _NoAnswer as error:
+            except _DaemonFailed as error:
                 problem = str(error)
             failures += 1
-            self._turn()
-            self._pause_watch(failures, problem)
+            self._rotate_servers()
+            self._back_off(failures, problem)
 
-    def _pause_watch(self, failures, problem):
-        """Pause after each round over all daemons; give up after many."""
+    def _back_off(self, failures, problem):
+        """Sleep after each failed round over all daemons; give up after the last."""
         rounds, rest = divmod(failures, len(self._servers))
-        if rounds >= WATCH_ROUNDS:
+        if rounds >= MAX_FAILED_ROUNDS:
             raise Unreachable(problem)
         if not rest:
-            self._sleep(min(FIRST_PAUSE * 2 ** (rounds - 1), LONGEST_PAUSE))
+            self._sleep(min(INITIAL_BACKOFF * 2 ** (rounds - 1), MAX_BACKOFF))
 
     def _read(self, path):
-        """Return the JSON body of a GET, from the first daemon that answers."""
+        """Return the JSON body of a GET from the first daemon that responds."""
         last = None
         for _ in self._servers:
             try:
-                return _check_reply(self._ask("GET", path)).document
-            except _NoAnswer as error:
+                return _check_reply(self._send("GET", path)).document
+            except _DaemonFailed as error:
                 last = error
-                self._turn()
-        raise Unreachable(f"no daemon answered; the last: {last}")
+                self._rotate_servers()
+        raise Unreachable(f"no daemon answered; last error: {last}")
 
     def _change(self, method, name, replaces, document):
-        headers = {forms.REPEAT_HEADER: uuid.uuid4().hex} | _make_condition(replaces)
+        headers = {forms.KEY_HEADER: uuid.uuid4().hex} | _make_condition(replaces)
         path = f"/services/{_quote(name)}"
-        maybe = None
+        possibly_sent = None
         last = None
         for _ in self._servers:
             try:
-                reply = self._ask(method, path, document, headers)
+                reply = self._send(method, path, document, headers)
                 return _check_reply(reply).document["version"]
-            except _NoAnswer as error:
+            except _DaemonFailed as error:
                 last = error
-                maybe = error if error.sent else maybe
-                self._turn()
-        if maybe is not None:
-            advice = "the change may be in force: look into the history"
-            raise Undecided(f"{maybe}; {advice}", maybe.change_id)
+                possibly_sent = error if error.sent else possibly_sent
+                self._rotate_servers()
+        if possibly_sent is not None:
+            advice = "the change may be in force: check the history"
+            raise Undecided(f"{possibly_sent}; {advice}", possibly_sent.change_id)
         raise Unreachable(f"nothing was changed: {last}")
 
-    def _ask(self, method, path, document=None, headers=None):
+    def _send(self, method, path, document=None, headers=None):
         body = None if document is None else json.dumps(document).encode()
         try:
             answer = self._pool.request(
@@ -319,11 +338,13 @@
                 timeout=self._timeout,
             )
         except urllib3.exceptions.HTTPError as error:
-            raise _NoAnswer(f"{self._servers[0]}: {error}", _was_sent(error)) from error
+            raise _DaemonFailed(
+                f"{self._servers[0]}: {error}", _was_sent(error)
+            ) from error
         return _parse_reply(answer.status, answer.data)
 
     def _stream(self, version):
-        """Yield the lines of one watch at one daemon until it is cut."""
+        """Yield the lines of one watch at one daemon until it ends."""
         after = "" if version is None else f"&version={version}"
         path = f"/services?watch=true&timeout={WATCH_TIMEOUT:g}{after}"
         try:
@@ -331,7 +352,7 @@
                 "GET",
                 self._servers[0] + path,
                 headers=self._headers,
-                timeout=urllib3.Timeout(connect=self._timeout, read=WATCH_SILENCE),
+                timeout=urllib3.Timeout(connect=self._timeout, read=WATCH_READ_TIMEOUT),
                 preload_content=False,
             )
             try:
@@ -341,10 +362,10 @@
             finally:
                 answer.close()
         except urllib3.exceptions.HTTPError as error:
-            raise _NoAnswer(f"{self._servers[0]}: {error}", sent=False) from error
+            raise _DaemonFailed(f"{self._servers[0]}: {error}", sent=False) from error
 
-    def _turn(self):
-        """Go to the next daemon."""
+    def _rotate_servers(self):
+        """Move the first daemon to the end of the list."""
         self._servers.append(self._servers.pop(0))
 
 
@@ -361,7 +382,7 @@
 
 
 def _was_sent(error):
-    """Return whether a request that failed may have reached the daemon."""
+    """Return whether a failed request may have reached the daemon."""
     never = (
         urllib3.exceptions.NewConnectionError,
         urllib3.exceptions.ConnectTimeoutError,
@@ -373,27 +394,30 @@
     try:
         document = json.loads(data)
     except ValueError as error:
-        raise _NoAnswer(f"unreadable answer of status {status}", sent=True) from error
+        raise _DaemonFailed(
+            f"unreadable answer of status {status}", sent=True
+        ) from error
     if not isinstance(document, dict):
-        raise _NoAnswer(f"unreadable answer of status {status}", sent=True)
+        raise _DaemonFailed(f"unreadable answer of status {status}", sent=True)
     return Reply(status, document)
 
 
 def _check_reply(reply):
-    """Return a good reply.
+    """Return a reply unless its status is an error.
 
     Raises:
-        ClientError: For an error that another daemon would give as well.
-        _NoAnswer: For one that another daemon may not give.
+        errors.InputErrors: For an invalid request, with all findings.
+        ClientError: For an error that every daemon would return.
+        _DaemonFailed: For an error that another daemon may not return.
     """
     if reply.status < 400:
         return reply
     error = reply.document.get("error", {})
     message = error.get("message", f"status {reply.status}")
     code = error.get("code", "")
-    if reply.status in RETRIED_ELSEWHERE:
+    if reply.status in FAILOVER_STATUSES:
         sent = error.get("may_have_taken_effect", reply.status != 429)
-        raise _NoAnswer(message, sent, error.get("change_id", ""))
+        raise _DaemonFailed(message, sent, error.get("change_id", ""))
     if reply.status == 400:
         findings = [errors.Finding(**form) for form in error.get("findings", ())]
         errors.raise_findings(message, findings)
@@ -402,21 +426,23 @@
     if reply.status == 404:
         raise NotFound(message)
     if reply.status == 410:
-        raise MustList(message)
+        raise WatchExpired(message)
     if reply.status == 412:
         raise Conflict(message, error.get("present_version", 0))
     raise Refused(message, code)
 
 
 def _parse_lines(chunks):
-    """Yield the decoded lines of a stream; a line that was cut off is dropped."""
+    """Yield the decoded lines of a stream; an incomplete last line is dropped."""
     rest = b""
     for chunk in chunks:
         *whole, rest = (rest + chunk).split(b"\n")
         for text in whole:
             line = _parse_line(text)
             if line["type"] == forms.TYPE_TOO_OLD:
-                raise MustList(f"changes up to {line['version']} are forgotten")
+                raise WatchExpired(
+                    f"changes up to version {line['version']} are no longer stored"
+                )
             yield line
 
 
@@ -427,7 +453,7 @@
             _parse_event(line)
         int(line["version"])
     except (ValueError, KeyError, TypeError) as error:
-        raise _NoAnswer(f"unreadable line of a watch: {error!r}", False) from error
+        raise _DaemonFailed(f"unreadable line of a watch: {error!r}", False) from error
     return line
 
 
--- a/whinwinch/operators/commands.py
+++ b/whinwinch/operators/commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands: thin on the client, text or JSON out."""
+"""Operator commands: call the client and print the results as text or JSON."""
 
 import contextlib
 import itertools
@@ -26,7 +26,7 @@
 
 
 def run_get(arguments, environment):
-    """Show one resource, or all."""
+    """Show one resource or all of them."""
     with _connect(arguments, environment) as client:
         if arguments.name:
             service = client.get_service(arguments.name)
@@ -50,7 +50,7 @@
 
 
 def run_watch(arguments, environment):
-    """Print changes as they take effect, until told to end."""
+    """Print changes as they take effect, up to the requested number."""
     with _connect(arguments, environment) as client:
         events = client.watch_services(arguments.after)
         for event in itertools.islice(events, arguments.most):
@@ -62,7 +62,7 @@
 
 
 def run_history(arguments, environment):
-    """Show who changed what and when, the newest first."""
+    """Show the changes with their authors and times, newest first."""
     with _connect(arguments, environment) as client:
         changes = client.read_history()
     lines = [_format_change(change) for change in changes]
@@ -71,7 +71,7 @@
 
 
 def run_status(arguments, environment):
-    """Show what one daemon knows and does."""
+    """Show the status of one daemon."""
     with _connect(arguments, environment) as client:
         status = client.read_status()
     _print(arguments, status, "\n".join(_format_tree(status)))
@@ -79,7 +79,7 @@
 
 
 def run_drain(arguments, environment):
-    """Let one daemon and its backend server leave without a loss."""
+    """Drain one daemon and its backend server without losing requests."""
     with _connect(arguments, environment) as client:
         status = client.drain()
     _print(arguments, status, "leaving")
@@ -88,17 +88,17 @@
 
 @contextlib.contextmanager
 def _connect(arguments, environment):
-    # Imported late: `--help` and `replay` need no HTTP client.
+    # Imported lazily because `--help` and `replay` need no HTTP client.
     from . import client
 
     text = arguments.server or environment.get(SERVER_VARIABLE, DEFAULT_SERVER)
     servers = [server.strip() for server in text.split(",") if server.strip()]
-    wrong = [server for server in servers if not server.startswith("http")]
+    invalid = [server for server in servers if not server.startswith("http")]
     raise_findings(
-        "wrong servers",
+        "invalid servers",
         [
             Finding(server, "must be a URL such as http://10.0.0.7:7300")
-            for server in wrong
+            for server in invalid
         ],
     )
     connected = client.Client(servers, environment.get(TOKEN_VARIABLE, ""))
@@ -109,17 +109,17 @@
 
 
 def _read_documents(paths):
-    """Return the resources in files; one file may hold a list of them."""
+    """Return the resources in files; a file may contain one or a list of them."""
     documents = []
     findings = []
     for path in paths:
         try:
             content = json.loads(_read_text(path))
         except (OSError, ValueError) as error:
-            findings.append(Finding(path, f"can't be read: {error}"))
+            findings.append(Finding(path, f"cannot be read: {error}"))
             continue
         documents.extend(content if isinstance(content, list) else [content])
-    raise_findings("wrong files", findings)
+    raise_findings("unreadable files", findings)
     return documents
 
 
@@ -131,10 +131,10 @@
 
 
 def _print(arguments, document, text):
-    """Print a result in the form asked for, at once, for pipes to see."""
+    """Print a result as text or JSON and flush it for readers of a pipe."""
     shown = json.dumps(document) if arguments.output == "json" else text
-    # Text and line end in one write: where output isn't buffered, a line of
-    # `whinwinch watch` in the same terminal would come between the two.
+    # Write the text and its line end at once: if output is unbuffered, a line of
+    # `whinwinch watch` in the same terminal could be printed between the two.
     print(f"{shown}\n", end="", flush=True)
 
 
@@ -150,9 +150,9 @@
 
 def _format_change(change):
     what = "delete" if change["deleted"] else "apply"
-    fate = "accepted" if change["accepted"] else f"rejected: {change['reason']}"
+    outcome = "accepted" if change["accepted"] else f"rejected: {change['reason']}"
     at = _format_time(change["time"])
-    return f"{at} {change['author']} {what} {change['name']} {fate}"
+    return f"{at} {change['author']} {what} {change['name']} {outcome}"
 
 
 def _format_time(seconds):
@@ -160,7 +160,7 @@
 
 
 def _format_tree(value, path=""):
-    """Yield a line for each leaf of a JSON document: its path and its value."""
+    """Yield one line with path and value for each leaf of a JSON document."""
     if not isinstance(value, dict):
         yield f"{path} {json.dumps(value)}"
         return
--- a/whinwinch/operators/forms.py
+++ b/whinwinch/operators/forms.py
@@ -1,19 +1,18 @@
-"""What the resource API and its clients say to each other.
+"""JSON forms, header and paths shared by the resource API and its clients.
 
-Apart from the API itself, so that a client need not load its HTTP server.
+They are separate from the API so that a client does not load the HTTP server.
 """
 
 from typing import NotRequired, TypedDict
 
 MOUNT = "/admin"
-# A change that is sent again with the same key, here or to another daemon,
-# takes effect once.
-REPEAT_HEADER = "Idempotency-Key"
+# A change that is sent again with the same key, to any daemon, takes effect once.
+KEY_HEADER = "Idempotency-Key"
 
-# Seconds between the lines that are sent when nothing changes. Without them a
-# client whose connection broke silently would wait for changes that can't come,
-# and its place would stay taken here, because only a failed write shows it.
-HEARTBEAT = 5.0
+# Seconds between the lines of a watch while nothing changes. Without them a client
+# would not notice that its connection broke silently. The daemon, which notices only
+# when a write fails, would never release the place of that watch.
+HEARTBEAT_INTERVAL = 5.0
 
 TYPE_CHANGED = "changed"
 TYPE_DELETED = "deleted"
@@ -22,7 +21,7 @@
 
 
 class FindingForm(TypedDict):
-    """JSON form of a finding."""
+    """JSON form of an `errors.Finding`."""
 
     place: str
     problem: str
@@ -51,21 +50,21 @@
 
 
 class ServiceList(TypedDict):
-    """JSON form of all services with the version of the collection."""
+    """JSON form of all services and the version of the collection."""
 
     version: int
     services: list[ServiceAnswer]
 
 
 class ChangeAnswer(TypedDict):
-    """JSON form of an accepted change whose resource isn't there any more."""
+    """JSON form of an accepted change whose resource has since changed or gone."""
 
     name: str
     version: int
 
 
 class HistoryAnswer(TypedDict):
-    """JSON form of the history, the newest entry first."""
+    """JSON form of the history, newest entry first."""
 
     version: int
     changes: list[dict]
@@ -74,8 +73,9 @@
 class WatchLine(TypedDict):
     """JSON form of one line of a watch.
 
-    A line of type ``current`` says that nothing changed up to its version, one
-    of type ``too-old`` that the watch can't go on and the list is needed.
+    A line of type ``current`` reports that all changes up to its version were
+    sent. A line of type ``too-old`` reports that the watch cannot continue and
+    the client has to list the services again.
     """
 
     type: str
--- a/whinwinch/operators/problems.py
+++ b/whinwinch/operators/problems.py
@@ -1,24 +1,24 @@
-"""Errors of the resource API, each with its status and its JSON form."""
+"""Errors of the resource API with their HTTP statuses and JSON forms."""
 
 from typing import Any
 
 from .. import errors
 from . import forms, store
 
-# Seconds after which an operator or a tool may try again.
+# Retry-After in seconds for a change that was neither accepted nor rejected.
 RETRY_AFTER = 5
 
 
 class ApiError(errors.UserError):
-    """An error that is answered in its JSON form.
+    """An error that the API returns in JSON form.
 
     Args:
         status: HTTP status.
-        code: Short fixed text for programs.
-        message: What is wrong, for people.
+        code: Machine-readable error code.
+        message: Human-readable description.
         findings: Iterable of `errors.Finding`.
-        retry_after: Seconds for ``Retry-After``, 0 for none.
-        **details: Further fields of `forms.ErrorForm`.
+        retry_after: Value of ``Retry-After`` in seconds, 0 for no header.
+        **details: Optional fields of `forms.ErrorForm`.
     """
 
     def __init__(
@@ -38,31 +38,31 @@
 
 
 def describe_missing(name):
-    """Return the error for a service without a resource."""
+    """Return the error for a service that does not exist."""
     return ApiError(404, "not-found", f"there is no resource for service {name!r}")
 
 
 def describe_conflict(name, present, change_id=""):
-    """Return the error of a change that met another version than it replaces."""
+    """Return the error for a change that does not replace the current version."""
     version = present.version if present is not None else 0
     state = f"is at version {version}" if version else "does not exist"
     return ApiError(
         412,
         "conflict",
-        f"service {name!r} {state}: read it again and decide anew",
+        f"service {name!r} {state}: read it again before you change it",
         present_version=version,
         change_id=change_id,
     )
 
 
 def describe_undecided(verdict, change_id):
-    """Return the error of a change that was not accepted and not rejected."""
-    maybe = verdict.decision is store.Decision.UNKNOWN
-    if maybe:
+    """Return the error for a change that was neither accepted nor rejected."""
+    possibly_written = verdict.decision is store.Decision.UNKNOWN
+    if possibly_written:
         code = "unknown"
         message = (
-            f"{verdict.reason}: the change may be in force already or later; "
-            "look for its change_id in the history"
+            f"{verdict.reason}: the change may have taken effect or may still do so; "
+            "look up its change_id in the history"
         )
     else:
         code = "log-down"
@@ -72,11 +72,11 @@
         code,
         message,
         retry_after=RETRY_AFTER,
-        may_have_taken_effect=maybe,
+        may_have_taken_effect=possibly_written,
         change_id=change_id,
     )
 
 
 def describe_findings(findings):
-    """Return the error of a request with findings."""
+    """Return the error for a request with findings."""
     return ApiError(400, "bad-request", "the request has errors", findings)
--- a/whinwinch/operators/server.py
+++ b/whinwinch/operators/server.py
@@ -1,6 +1,7 @@
-"""HTTP serving of operators by cherrypy, on threads of its own.
+"""HTTP server for operators, run by cherrypy on separate threads.
 
-Few requests, some of which last for an hour; none of them may hold up a call.
+It serves few requests, of which some last for an hour. The separate threads ensure
+that none of them delays a call.
 """
 
 import threading
@@ -10,29 +11,29 @@
 
 from . import forms, strictness, watch
 
-# Each watch holds one; the rest is for requests that take milliseconds.
+# One thread for each watch; the others serve requests that take milliseconds.
 THREADS = watch.DEFAULT_MAX_WATCHERS + 8
-# An operator that stops half way through its request is let go after this.
+# Seconds after which a connection is closed if the client stops sending its request.
 SOCKET_TIMEOUT = 10.0
 ACCEPT_QUEUE = 64
-# Requests that are still worked on are let go after this; a planned stop isn't
-# held up by an operator.
-STOP_SECONDS = 2.0
+# Seconds that a stop waits for requests in progress, so that an operator cannot delay
+# a planned stop.
+STOP_TIMEOUT = 2.0
 
 
 def start_server(address, application, settings):
-    """Start to serve operators; return the function that stops it, and blocks.
+    """Start to serve operators and return a blocking function that stops it.
 
-    cherrypy's own engine isn't used: it ends the process with an error where a
-    port isn't free a second after its server has stopped, as on a busy machine.
+    cherrypy's own engine is not used: it ends the process with an error if the
+    port is not free one second after its server stopped, as on a busy machine.
 
     Args:
         address: `settings.Address` to listen on.
         application: WSGI callable of the resource API.
-        settings: `settings.Settings` with the limits.
+        settings: `settings.Settings` with the size limits of requests.
 
     Raises:
-        OSError: When the address can't be listened on.
+        OSError: If the server cannot listen on the address.
     """
     cherrypy.config.update({"log.screen": False, "environment": "embedded"})
     server = _build_server(address, application, settings)
@@ -42,7 +43,7 @@
 
     def stop_server():
         server.stop()
-        serving.join(STOP_SECONDS)
+        serving.join(STOP_TIMEOUT)
 
     return stop_server
 
--- a/whinwinch/operators/store.py
+++ b/whinwinch/operators/store.py
@@ -1,9 +1,9 @@
-"""The accepted resources of a daemon, shared between its threads.
+"""Thread-safe store of the accepted resources of a daemon.
 
-One task follows the log and hands each record to `Store.apply_record`. Threads
-of cherrypy read an immutable `View` without a lock, propose changes
-and wait for news. Whether a change is accepted is decided by the log's order in
-`configuration.Configuration`; nothing here decides it.
+One task follows the log and passes each record to `Store.apply_record`. cherrypy's
+threads read an immutable `View` without a lock, propose changes and wait for
+accepted ones. `configuration.Configuration` decides from the order of the log
+whether a change is accepted; the store itself decides nothing.
 """
 
 import collections
@@ -20,25 +20,26 @@
 from ..configuration import ApplyReason
 from ..logservice import streams
 
-# Entries of the history, which hold no resource bodies.
+# Maximum number of history entries; they contain no resource bodies.
 MAX_HISTORY = 1024
 
 
 class HistoryEntry(NamedTuple):
-    """One proposed change, accepted or not.
+    """A proposed change and whether it was accepted.
 
     Attributes:
-        offset: Its place in the log.
-        time: When the log took it, in seconds of the log's clock.
-        change_id: Its identifier.
+        offset: Offset of the change in the log.
+        time: Time at which the log stored the change, in seconds of the log's
+            clock.
+        change_id: Identifier of the change.
         kind: Kind of the resource.
         name: Name of the resource.
-        author: Who made it.
-        made: When the author's daemon says it was made.
-        deleted: Whether it deletes the resource.
-        accepted: Whether it took effect.
-        reason: Why it did not.
-        version: Version of the collection after it.
+        author: Operator who made the change.
+        made: Time of the change according to the daemon that proposed it.
+        deleted: Whether the change deletes the resource.
+        accepted: Whether the change took effect.
+        reason: Why the change was rejected, "" if it was accepted.
+        version: Version of the collection after the change.
     """
 
     offset: int
@@ -55,26 +56,26 @@
 
 
 class Decision(enum.Enum):
-    """What is known of a proposed change."""
+    """State of a proposed change as observed by this daemon."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
-    # Surely not in the log: it did not and will not take effect.
+    # Certainly not in the log: the change did not and will not take effect.
     NOT_WRITTEN = "not-written"
-    # May be in the log, and may still take effect.
+    # Possibly in the log: the change may have taken effect or may still do so.
     UNKNOWN = "unknown"
 
 
 class Verdict(NamedTuple):
-    """The end of a proposal.
+    """Result of proposing a change.
 
     Attributes:
-        decision: What is known.
-        version: Version of the collection that the change made, 0 unless
+        decision: State of the change.
+        version: Version of the collection that the change produced, 0 unless
             accepted.
-        reason: Why, when it was not accepted.
-        resource: The accepted `configuration.Resource` as the change made it,
-            None after a deletion or when it has been changed since.
+        reason: Why the change was not accepted, "" if it was.
+        resource: The `configuration.Resource` that the change produced, None
+            after a deletion or if the resource has been changed since.
     """
 
     decision: Decision
@@ -84,13 +85,13 @@
 
 
 class View(NamedTuple):
-    """Everything in force at one moment; never changes.
+    """Immutable view of all resources in force at one moment.
 
     Attributes:
         version: Version of the collection.
-        changed: When the last change was taken by the log, in seconds of the
-            log's clock, 0 when there was none.
-        services: Checked specification by name of the service.
+        changed: Time at which the log stored the last change, in seconds of the
+            log's clock, 0 if there was none.
+        services: Validated specifications by service name.
         resources: `configuration.Resource` by kind and name.
     """
 
@@ -100,25 +101,29 @@
     resources: MappingProxyType = MappingProxyType({})
 
     def find_service(self, name):
-        """Return the specification of a service, the default if undeclared."""
+        """Return the specification of a service, or the default specification."""
         found = self.services.get(name)
         return resources.default_service(name) if found is None else found
 
     def find_resource(self, kind, name):
-        """Return the accepted resource, or None."""
+        """Return the accepted resource of this kind and name, or None."""
         return self.resources.get((kind, name))
 
     def list_resources(self, kind):
-        """Return all accepted resources of a kind in the order of their names."""
+        """Return all accepted resources of a kind, sorted by name."""
         found = [resource for key, resource in self.resources.items() if key[0] == kind]
         return sorted(found, key=lambda resource: resource.name)
 
 
 class VersionTooOld(errors.UserError):
-    """Changes after this version are no longer all known here.
+    """Some of the changes after this version are no longer stored.
 
-    A watch that went on from it would miss changes, so its owner has to list
-    the resources and watch from the list's version.
+    A watch resumed from this version would miss changes. The client has to list
+    the resources and watch from the version of the list.
+
+    Attributes:
+        version: Version that the watch was to resume from.
+        oldest: Oldest version that a watch can resume from.
     """
 
     def __init__(self, version, oldest):
@@ -127,8 +132,8 @@
         self.oldest = oldest
 
 
-class _Pending:
-    """A change under way, and its verdict once it is known."""
+class _PendingChange:
+    """A proposed change that is awaiting its verdict."""
 
     def __init__(self, change):
         self.change = change
@@ -136,18 +141,19 @@
 
 
 class Store:
-    """Accepted resources, changes under way and those who wait for them.
+    """Accepted resources, pending changes and the threads waiting for them.
 
     Args:
-        accepted: A `configuration.Configuration`; only this store may change it
+        accepted: A `configuration.Configuration`; only this store may modify it
             afterwards.
         append: Function of stream, data and timeout in seconds that appends to
-            the log and returns the offset. It raises an exception with an
-            attribute ``written``: False when the record is surely not in the
-            log. Every other exception counts as not known.
-        encode: Function that turns a `configuration.Change` into bytes.
-        stream: Name of the log's stream of configuration.
-        clock: The clock that `propose` measures its timeout with, in seconds.
+            the log and returns the offset. If it raises an exception whose
+            attribute ``written`` is False, the record is certainly not in the
+            log. After any other exception the record may be in the log.
+        encode: Function that encodes a `configuration.Change` as bytes.
+        stream: Name of the log stream that contains the configuration.
+        clock: Function that returns the time in seconds, for the timeout of
+            `propose`.
     """
 
     def __init__(
@@ -163,7 +169,7 @@
         self._encode = encode
         self._stream = stream
         self._clock = clock
-        self._news = threading.Condition()
+        self._changed = threading.Condition()
         self._view = View()
         self._history = collections.deque(maxlen=MAX_HISTORY)
         self._pending = {}
@@ -173,12 +179,12 @@
 
     @property
     def ready(self):
-        """Whether the log has been read up to its end, or a peer's state taken."""
+        """Whether the log was read to its end or a peer's snapshot was installed."""
         return self._ready
 
     @property
     def offset(self):
-        """Offset of the next record wanted."""
+        """Offset of the next record to apply."""
         return self._configuration.offset
 
     @property
@@ -188,83 +194,84 @@
 
     @property
     def closed(self):
-        """Whether nobody should wait for changes any more."""
+        """Whether the store is closed, so that waiting for changes ends at once."""
         return self._closed
 
     def mark_ready(self):
-        """Say that the state is no longer that of a daemon that has read nothing."""
+        """Mark the store as ready once the configuration has been read."""
         self._ready = True
 
     def close(self):
-        """End all waiting, so that a daemon that stops is not held up by it."""
-        with self._news:
+        """Wake all waiting threads so that they do not delay the daemon's stop."""
+        with self._changed:
             self._closed = True
-            self._news.notify_all()
+            self._changed.notify_all()
 
     def snapshot(self):
-        """Return everything in force, as an immutable `View`."""
+        """Return an immutable `View` of everything in force."""
         return self._view
 
     def list_history(self):
-        """Return the proposals read so far, the newest first."""
-        with self._news:
+        """Return the last `MAX_HISTORY` proposals read, newest first."""
+        with self._changed:
             return tuple(reversed(self._history))
 
     def apply_record(self, offset, time, data):
-        """Take one record of the log, or of a peer that read it there.
+        """Apply one record that was read from the log by this daemon or a peer.
 
         Args:
-            offset: Its offset.
-            time: When the log took it, in seconds of the log's clock.
-            data: Its bytes.
+            offset: Offset of the record in the log.
+            time: Time at which the log stored the record, in seconds of the
+                log's clock.
+            data: Encoded record.
 
         Returns:
-            The `configuration.ApplyResult` that the configuration gave.
+            The `configuration.ApplyResult` returned by the configuration.
         """
-        with self._news:
+        with self._changed:
             applied = self._configuration.apply(offset, time, data)
             if applied.ground is ApplyReason.ACCEPTED:
                 self._publish(applied.change)
             if applied.ground in (ApplyReason.ACCEPTED, ApplyReason.CONFLICT):
                 self._history.append(_make_entry(offset, time, applied, self.version))
-            self._settle()
+            self._resolve_pending()
         return applied
 
     def install_snapshot(self, data):
-        """Take in a snapshot of the log or of a peer, if it is newer.
+        """Install a snapshot from the log or a peer if it is newer.
 
         Args:
-            data: Its bytes.
+            data: Encoded snapshot.
 
         Returns:
-            Whether it was taken in.
+            Whether the snapshot was installed.
         """
-        with self._news:
+        with self._changed:
             installed = self._configuration.install(data)
             if installed:
                 self._rebuild()
-                self._settle()
+                self._resolve_pending()
         return installed
 
     def encode_snapshot(self):
-        """Return the log record of a snapshot of everything in force."""
-        with self._news:
+        """Return a log record with a snapshot of everything in force."""
+        with self._changed:
             return self._configuration.encode_snapshot()
 
     def encode_resources(self):
-        """Return all accepted resources as bytes, the same at every daemon."""
+        """Return all accepted resources encoded identically at every daemon."""
         view = self._view
         found = [view.resources[key] for key in sorted(view.resources)]
         return json.dumps([list(one) for one in found], sort_keys=True).encode()
 
     def plan_snapshot(self, retention, wall):
-        """Return whether a snapshot is due, as a `configuration.SnapshotPlan`.
+        """Return a `configuration.SnapshotPlan` that says whether one is due.
 
         Args:
             retention: Seconds for which the log keeps records.
-            wall: Wall-clock time in seconds, near enough to the log's.
+            wall: Wall-clock time in seconds, close to that of the log's clock.
         """
-        with self._news:
+        with self._changed:
             return configuration.plan_snapshot(
                 self._configuration.offset,
                 self._configuration.snapshot_covers,
@@ -274,23 +281,23 @@
             )
 
     def propose(self, change, timeout):
-        """Append a change to the log and wait until its fate has been read.
+        """Append a change to the log and wait until its decision is read back.
 
-        An answer of the log that got lost says nothing: the change may be in
-        force already. Reporting a failure then would have an operator make it
-        again, on top of somebody else's change in between. So the fate is taken
-        from the log, where the task that follows it finds the change or not.
+        If the log's answer is lost, the change may already be in force. If a
+        failure were reported, the operator would make the change again and
+        overwrite a change that someone else made in between. The decision
+        therefore comes from the log itself, as read by the task that follows it.
 
         Args:
             change: A `configuration.Change`.
-            timeout: Seconds for all.
+            timeout: Total timeout in seconds.
 
         Returns:
             A `Verdict`.
         """
         end = self._clock() + timeout
-        pending = _Pending(change)
-        with self._news:
+        pending = _PendingChange(change)
+        with self._changed:
             self._pending[change.change_id] = pending
         try:
             verdict = self._append_change(change, timeout)
@@ -299,12 +306,12 @@
             self._wait_verdict(pending, max(0.0, end - self._clock()))
             return pending.verdict or verdict
         finally:
-            with self._news:
+            with self._changed:
                 del self._pending[change.change_id]
 
     def find_verdict(self, change):
-        """Return the `Verdict` of a change that has been read before, or None."""
-        with self._news:
+        """Return the `Verdict` of a change already read from the log, or None."""
+        with self._changed:
             decision = self._configuration.find_decision(change.change_id)
             if decision is None:
                 return None
@@ -313,22 +320,22 @@
     def wait_changes(self, version, timeout):
         """Wait until there are accepted changes after a version.
 
-        A version that this daemon has not read yet is waited for: the watcher
-        may have seen it at a daemon that is ahead.
+        The version may be one that this daemon has not read yet, because the
+        watcher may have received it from a daemon that is ahead.
 
         Args:
-            version: Version of the collection that the watcher knows.
-            timeout: Seconds, at most.
+            version: Last version of the collection that the watcher has received.
+            timeout: Maximum time to wait in seconds.
 
         Returns:
             A tuple of `configuration.Event`, oldest first; empty after the
-            timeout.
+            timeout or once the store is closed.
 
         Raises:
-            VersionTooOld: When some change after the version isn't known here.
+            VersionTooOld: If some change after the version is no longer stored.
         """
-        with self._news:
-            self._news.wait_for(
+        with self._changed:
+            self._changed.wait_for(
                 lambda: self._configuration.version > version or self._closed, timeout
             )
             found = self._configuration.changes_since(version)
@@ -337,7 +344,7 @@
         return found
 
     def _append_change(self, change, timeout):
-        """Append and return what is known before the change has been read."""
+        """Append a change and return the verdict if it is not read back in time."""
         try:
             self._append(self._stream, self._encode(change), timeout)
         except Exception as error:
@@ -345,24 +352,25 @@
             if getattr(error, "written", None) is False:
                 return Verdict(Decision.NOT_WRITTEN, reason=str(error))
             return Verdict(Decision.UNKNOWN, reason="the log's answer was lost")
-        reason = "the log took the change, but it has not been read back yet"
+        reason = "the log stored the change, but it has not been read back yet"
         return Verdict(Decision.UNKNOWN, reason=reason)
 
     def _wait_verdict(self, pending, timeout):
-        with self._news:
-            self._news.wait_for(lambda: pending.verdict or self._closed, timeout)
+        with self._changed:
+            self._changed.wait_for(lambda: pending.verdict or self._closed, timeout)
 
-    def _settle(self):
-        """Give their verdicts to changes that have been read; wake all waiting.
+    def _resolve_pending(self):
+        """Set the verdicts of pending changes that were read; wake all waiters.
 
-        The decision is looked up instead of taken from the record just read: a
-        daemon that fell behind may learn it from a snapshot.
+        The decision is looked up in the configuration rather than in the record
+        just applied, because a daemon that fell behind may receive it in a
+        snapshot.
         """
         for pending in self._pending.values():
             decision = self._configuration.find_decision(pending.change.change_id)
             if pending.verdict is None and decision is not None:
                 pending.verdict = self._make_verdict(pending.change, decision)
-        self._news.notify_all()
+        self._changed.notify_all()
 
     def _make_verdict(self, change, decision):
         present = self._configuration.get(change.kind, change.name)
@@ -374,7 +382,7 @@
         return Verdict(Decision.ACCEPTED, decision.version, resource=present)
 
     def _publish(self, change):
-        """Put a view with one change more in place of the last."""
+        """Replace the view by one that includes an accepted change."""
         key = (change.kind, change.name)
         services = dict(self._view.services)
         accepted = dict(self._view.resources)
@@ -388,7 +396,7 @@
         self._set_view(services, accepted, self._configuration.time)
 
     def _rebuild(self):
-        """Publish everything anew, after a snapshot took the place of changes."""
+        """Rebuild the view from the configuration, as after a snapshot."""
         found = self._configuration.resources()
         accepted = {(resource.kind, resource.name): resource for resource in found}
         services = {
@@ -426,12 +434,13 @@
 
 
 def _read_service(name, body):
-    """Return the specification of an accepted body, as far as it can be read."""
+    """Return the specification of an accepted body, with defaults if unreadable."""
     document = {"kind": resources.KIND_SERVICE, "name": name, "spec": body}
     reading = resources.parse_resource(document)
-    # A record written past the API, or by another version, may say what this
-    # daemon can't read. All daemons take it, or they would disagree on what is
-    # in force; the line is how an operator notices.
+    # A record that bypassed the API, or that another version wrote, may contain
+    # values that this daemon cannot parse. Every daemon still applies it, because
+    # they would otherwise disagree on the configuration in force. The log line
+    # reports the problem to the operator.
     for finding in reading.findings:
         logging.error(
             "service=%s place=%s unreadable: %s", name, finding.place, finding.problem
--- a/whinwinch/operators/strictness.py
+++ b/whinwinch/operators/strictness.py
@@ -1,13 +1,13 @@
-"""Requests that could be read in two ways are refused before anything reads them.
+"""Strict HTTP parsing that rejects ambiguous requests.
 
-A request with two different lengths or keys means one thing to the sender's
-proxy and another to this daemon: a part of one caller's body would be taken
-for the next request on the connection. The server then answers 400.
+A proxy and this daemon may interpret a request with two different lengths or keys
+differently. Part of one caller's body would then be parsed as the next request on
+the connection (request smuggling). The server answers such requests with 400.
 """
 
 from cheroot import server
 
-SINGLE = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     {
         b"Content-Length",
         b"Host",
@@ -19,44 +19,45 @@
 )
 
 
-class SingleHeaders(dict):
-    """Headers of one request, of which some may come only once."""
+class UniqueHeaders(dict):
+    """Headers of one request; those in `SINGLE_VALUE_HEADERS` must not be repeated."""
 
     def __setitem__(self, name, value):
-        if name in SINGLE and name in self:
-            raise ValueError(f"{name.decode()} must come only once.")
+        if name in SINGLE_VALUE_HEADERS and name in self:
+            raise ValueError(f"{name.decode()} must not be repeated.")
         super().__setitem__(name, value)
 
 
 class StrictHeaderReader(server.HeaderReader):
-    """Reads headers, or raises ValueError when they are ambiguous.
+    """Header reader that raises ValueError for ambiguous headers.
 
-    Names with an underscore are dropped: WSGI can't tell them from those with
-    a dash, so that one could stand in for the other unseen.
+    Names with an underscore are dropped: WSGI cannot distinguish them from names
+    with a dash, so that one could replace the other unnoticed.
     """
 
     def __call__(self, rfile, hdict=None):
-        """Read headers into `hdict`; raises ValueError for ambiguous ones."""
-        headers = super().__call__(rfile, SingleHeaders())
+        """Read headers into `hdict`; raise ValueError for ambiguous ones."""
+        headers = super().__call__(rfile, UniqueHeaders())
         if b"Content-Length" in headers and b"Transfer-Encoding" in headers:
-            raise ValueError("Either Content-Length or Transfer-Encoding, not both.")
+            raise ValueError("Content-Length and Transfer-Encoding exclude each other.")
         if hdict is None:
             return headers
         hdict.update(headers)
         return hdict
 
     def _allow_header(self, key_name):
-        # cheroot's own reader that drops these names mixes bytes and text.
+        # cheroot's DropUnderscoreHeaderReader does not work, because it mixes bytes
+        # and text.
         return b"_" not in key_name
 
 
 class StrictRequest(server.HTTPRequest):
-    """A request whose headers are read strictly."""
+    """Request with strictly parsed headers."""
 
     header_reader = StrictHeaderReader()
 
 
 class StrictConnection(server.HTTPConnection):
-    """A connection whose requests are read strictly."""
+    """Connection with strictly parsed requests."""
 
     RequestHandlerClass = StrictRequest
--- a/whinwinch/operators/watch.py
+++ b/whinwinch/operators/watch.py
@@ -1,4 +1,4 @@
-"""Watches: streams of the changes after a version, one JSON line each."""
+"""Watches: streams of changes after a version, one JSON line per change."""
 
 import json
 import threading
@@ -8,17 +8,18 @@
 from . import forms
 from .store import VersionTooOld
 
+# Seconds after which a watch ends.
 DEFAULT_TIMEOUT = 60.0
 MAX_TIMEOUT = 3600.0
-# Each watch holds a thread of the HTTP server all the time.
+# Each watch occupies a thread of the HTTP server until it ends.
 DEFAULT_MAX_WATCHERS = 8
 
 
 class Watch(NamedTuple):
-    """What a watcher asked for.
+    """Parameters of a watch.
 
     Attributes:
-        version: Version of the collection that it knows.
+        version: Version of the collection after which the changes are sent.
         timeout: Seconds after which the stream ends.
     """
 
@@ -27,10 +28,10 @@
 
 
 class Watchers:
-    """Number of watches under way, with its limit.
+    """Limit on the number of concurrent watches.
 
     Args:
-        limit: Most watches at once.
+        limit: Maximum number of concurrent watches.
     """
 
     def __init__(self, limit=DEFAULT_MAX_WATCHERS):
@@ -38,19 +39,19 @@
         self.limit = limit
 
     def try_enter(self):
-        """Take a place; return whether there was one."""
+        """Occupy a place and return whether one was free."""
         return self._places.acquire(blocking=False)
 
     def leave(self):
-        """Give a place back."""
+        """Release a place."""
         self._places.release()
 
 
 def stream_changes(store, watch, clock: Callable[[], float]):
-    """Yield the lines of a watch until its time is over.
+    """Yield the lines of a watch until it times out or the store is closed.
 
-    No change is missed or repeated: each round asks for what came after the
-    last version that was sent.
+    No change is missed or repeated, because each round requests the changes after
+    the last version that was sent.
 
     Args:
         store: A `store.Store`.
@@ -60,9 +61,11 @@
     end = clock() + watch.timeout
     version = watch.version
     yield encode_line(forms.WatchLine(type=forms.TYPE_CURRENT, version=version))
-    while not store.closed and (left := end - clock()) > 0:
+    while not store.closed and (remaining := end - clock()) > 0:
         try:
-            events = store.wait_changes(version, min(left, forms.HEARTBEAT))
+            events = store.wait_changes(
+                version, min(remaining, forms.HEARTBEAT_INTERVAL)
+            )
         except VersionTooOld as error:
             yield encode_line(
                 forms.WatchLine(type=forms.TYPE_TOO_OLD, version=error.oldest)
@@ -76,7 +79,7 @@
 
 
 def format_event(event):
-    """Return the line of a `configuration.Event`."""
+    """Return the `forms.WatchLine` of a `configuration.Event`."""
     line = forms.WatchLine(
         type=forms.TYPE_DELETED if event.resource is None else forms.TYPE_CHANGED,
         version=event.version,
@@ -92,5 +95,5 @@
 
 
 def encode_line(line):
-    """Return a line's bytes."""
+    """Return a line as JSON bytes with a line end."""
     return json.dumps(line).encode() + b"\n"
