--- a/test/test_explanations.py
+++ b/test/test_explanations.py
@@ -97,7 +97,7 @@
     def test_unknown_request(self):
         code, text = self.run_command("r", self.save("d.log", "{}"))
         self.assertEqual(code, 1)
-        self.assertIn("No line tells of r", text)
+        self.assertIn("No line mentions r", text)
 
     def test_file_that_is_missing(self):
         with contextlib.redirect_stderr(io.StringIO()) as errors:
--- a/whinwinch/commands.py
+++ b/whinwinch/commands.py
@@ -1,4 +1,4 @@
-"""The command line; a thin layer over the library."""
+"""Command-line interface: parses the arguments and runs the command."""
 
 import argparse
 import os
@@ -18,11 +18,12 @@
     """Run one command.
 
     Args:
-        arguments: Words of the command line, by default the process's own.
+        arguments: Arguments of the command line, ``sys.argv[1:]`` by default.
         environment: Environment variables.
 
     Returns:
-        The exit code: 0 for success, 1 for a failure, 2 for wrong usage.
+        The exit code: 0 for success, 1 for a failure, 2 for invalid usage or input,
+            130 after an interrupt.
     """
     parsed = build_parser().parse_args(arguments)
     try:
@@ -38,13 +39,13 @@
     except KeyboardInterrupt:
         return EXIT_INTERRUPTED
     except BrokenPipeError:
-        # `whinwinch watch | head` ends this way; it is no failure.
+        # The reader of a pipe has exited, as in `whinwinch watch | head`.
         sys.stderr.close()
         return EXIT_OK
 
 
 def build_parser():
-    """Return the parser of all commands."""
+    """Return the argument parser with all commands."""
     parser = argparse.ArgumentParser(
         prog="whinwinch",
         description="Overload control layer for service call graphs.",
@@ -68,14 +69,15 @@
 
 
 def _add_daemon(commands):
-    # Imported late: operators' commands need none of what a daemon needs.
+    # Imported lazily to keep the operators' commands fast to start.
     from . import settings
 
     parser = commands.add_parser(
         "daemon",
         help="run the daemon beside a backend server",
-        description="Run the daemon beside a backend server. Every setting is a "
-        "flag or the environment variable named with it; the flag goes first.",
+        description="Run the daemon beside a backend server. Every setting can be "
+        "given as a flag or as the environment variable shown with it; the flag "
+        "takes precedence.",
         epilog="from the environment only:\n" + settings.describe_secrets(),
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -131,7 +133,7 @@
 
 def _add_status(commands):
     _add_operator_command(
-        commands, "status", "show what a daemon knows and does", operators.run_status
+        commands, "status", "show the status of a daemon", operators.run_status
     )
 
 
@@ -139,29 +141,31 @@
     _add_operator_command(
         commands,
         "drain",
-        "let the backend server beside a daemon leave without a loss",
+        "drain the backend server beside a daemon without losing requests",
         operators.run_drain,
     )
 
 
 def _add_replay(commands):
     parser = commands.add_parser(
-        "replay", help="check a recorded trace against what must hold"
+        "replay", help="check a recorded trace for violated guarantees"
     )
     parser.add_argument(
         "traces",
         metavar="TRACE",
         nargs="+",
-        help="file of JSON lines; several of one mesh are merged by their times",
+        help="file of JSON lines; several files of one mesh are merged by time",
     )
     parser.set_defaults(run=run_replay)
 
 
 def _add_explain(commands):
-    summary = "tell from daemons' logs why a request failed"
+    summary = "explain from the logs of daemons why a request failed"
     parser = commands.add_parser("explain", help=summary, description=summary)
     parser.add_argument(
-        "identifier", metavar="ID", help="of the request, as its caller gave it"
+        "identifier",
+        metavar="ID",
+        help="identifier of the request, as its caller sent it",
     )
     parser.add_argument(
         "logs", metavar="LOG", nargs="+", help="file of structured log lines"
@@ -173,13 +177,13 @@
     summary = "show the state of all daemons, from their metrics pages"
     parser = commands.add_parser("fleet", help=summary, description=summary)
     parser.add_argument(
-        "addresses", metavar="HOST:PORT", nargs="*", help="of a metrics page"
+        "addresses", metavar="HOST:PORT", nargs="*", help="address of a metrics page"
     )
     parser.add_argument(
-        "--addresses-from", metavar="FILE", help="with an address a line"
+        "--addresses-from", metavar="FILE", help="file with one address per line"
     )
     parser.add_argument(
-        "--seconds", type=float, default=2.0, help="over which rates are taken [2]"
+        "--seconds", type=float, default=2.0, help="interval for rates [2]"
     )
     parser.set_defaults(run=run_fleet)
 
@@ -194,28 +198,33 @@
         f"read from {operators.TOKEN_VARIABLE}",
     )
     parser.add_argument(
-        "--output", choices=("text", "json"), default="text", help="form of the output"
+        "--output",
+        choices=("text", "json"),
+        default="text",
+        help="format of the output",
     )
     parser.set_defaults(run=run)
     return parser
 
 
 def run_daemon(arguments, environment):
-    """Run a daemon until it is told to stop."""
+    """Run a daemon until it is stopped."""
     from . import daemon, settings
 
     return daemon.run(settings.read_settings(arguments, environment))
 
 
 def run_replay(arguments, environment):
-    """Check a recorded trace."""
+    """Check a recorded trace for violated guarantees."""
     del environment
     from . import traces
 
-    one, *others = arguments.traces
+    first, *others = arguments.traces
     try:
         replay = (
-            traces.replay_files([one, *others]) if others else traces.replay_file(one)
+            traces.replay_files([first, *others])
+            if others
+            else traces.replay_file(first)
         )
     except OSError as error:
         raise UserError(str(error)) from error
@@ -236,16 +245,16 @@
         except OSError as error:
             raise UserError(str(error)) from error
     if not addresses:
-        raise UserError("name the addresses of metrics pages, or a file of them")
+        raise UserError("pass the addresses of metrics pages or a file of them")
     if arguments.seconds <= 0.0:
-        raise UserError("--seconds must be above 0")
-    found = fleet.look(addresses, arguments.seconds)
-    print("\n".join(fleet.render_fleet(found)))
-    return EXIT_FAILED if found.unreachable else EXIT_OK
+        raise UserError("--seconds must be greater than 0")
+    state = fleet.look(addresses, arguments.seconds)
+    print("\n".join(fleet.render_fleet(state)))
+    return EXIT_FAILED if state.unreachable else EXIT_OK
 
 
 def run_explain(arguments, environment):
-    """Tell why a request failed."""
+    """Explain from the logs why a request failed."""
     del environment
     from . import explanations
 
--- a/whinwinch/errors.py
+++ b/whinwinch/errors.py
@@ -1,19 +1,19 @@
-"""Errors shown to people, and findings collected with their place."""
+"""User-facing errors, and findings in some input with their locations."""
 
 from typing import NamedTuple
 
 
 class UserError(Exception):
-    """An error that is printed to a person without a traceback."""
+    """An error that is shown to the user without a traceback."""
 
 
 class Finding(NamedTuple):
-    """One thing wrong with some input.
+    """One error in some input.
 
     Attributes:
-        place: Where it stands, as the reader would write it, for example
+        place: Location of the error in the user's notation, for example
             ``--zone`` or ``calls[2].importance``.
-        problem: What is wrong and what would be right.
+        problem: Description of the error and of valid values.
     """
 
     place: str
@@ -21,7 +21,7 @@
 
 
 class FindingError(UserError):
-    """One finding as an exception, so that several can travel in a group."""
+    """A finding as an exception, so that `InputErrors` can group several."""
 
     def __init__(self, finding):
         super().__init__(f"{finding.place}: {finding.problem}")
@@ -29,27 +29,27 @@
 
 
 class InputErrors(ExceptionGroup, UserError):
-    """All findings on one input, reported together."""
+    """All findings in one input, reported together."""
 
     def derive(self, excs):
-        """Keep the type when the group is split."""
+        """Return a group of the same type; called when the group is split."""
         return InputErrors(self.message, excs)
 
     @property
     def findings(self):
-        """The findings of the group, in the order in which they were found."""
+        """Tuple of all findings, in the order in which they were found."""
         return tuple(error.finding for error in self.exceptions)
 
 
 def raise_findings(message, findings):
-    """Raise all findings as one group, or return when there are none.
+    """Raise all findings as one group, or return if there are none.
 
     Args:
-        message: What was being checked.
+        message: Summary of the errors.
         findings: Iterable of `Finding`.
 
     Raises:
-        InputErrors: When there is at least one finding.
+        InputErrors: If there is at least one finding.
     """
     errors = [FindingError(finding) for finding in findings]
     if errors:
--- a/whinwinch/events.py
+++ b/whinwinch/events.py
@@ -1,10 +1,10 @@
-"""Structured log lines: one JSON object each, to standard output.
+"""Structured logging: one JSON object per line, to standard output.
 
-Two things can go wrong with logs under load: a reader that is slow blocks the
-daemon in a write, and every call then waits for it; and refusals by the thousand
-cost more than the calls that are served. So writing never blocks, and lines about
-single requests are limited for each kind; what was left out is counted, and the
-next line of the kind says how much.
+Logging can harm a daemon under load in two ways. A slow reader would block the daemon
+in a write, and every call would wait for it. And the lines of thousands of refusals
+would cost more than the calls that are served. Therefore writing never blocks, and
+lines about single requests are rate-limited for each kind of event. The next line of
+that kind reports how many were left out.
 """
 
 import json
@@ -12,24 +12,30 @@
 import time
 from typing import NamedTuple
 
-# Lines a second for each kind of event that comes with requests. One line costs
-# about 15 us, so 40 of them take 0.06 % of a core for each kind.
+# Lines per second for each kind of event that is written for single requests. A line
+# costs about 15 us, so that 40 of them use 0.06 % of a core per kind.
 LINES_PER_SECOND = 40.0
 BURST_LINES = 80.0
-# Bytes that wait for a slow reader; beyond them lines are lost and counted.
-MOST_WAITING = 1 << 16
+# Bytes buffered for a slow reader; further lines are dropped and counted.
+MAX_PENDING_BYTES = 1 << 16
 
 
-class Allowance:
-    """Lines that one kind of event may still write, and what was left out."""
+class RateLimit:
+    """Rate limiter (token bucket) for the lines of one kind of event.
+
+    Attributes:
+        lines: Remaining lines that may be written.
+        time: Time of the last refill in seconds.
+        dropped: Lines left out since the last one that was written.
+    """
 
     def __init__(self, now):
         self.lines = BURST_LINES
         self.time = now
         self.dropped = 0
 
-    def take(self, now):
-        """Return whether a line may be written."""
+    def try_spend(self, now):
+        """Spend one line and return whether one was available."""
         gained = (now - self.time) * LINES_PER_SECOND
         self.lines = min(BURST_LINES, self.lines + gained)
         self.time = now
@@ -41,12 +47,15 @@
 
 
 class Log:
-    """Writes events to a file descriptor without ever waiting for it.
+    """Log that writes events to a file descriptor without ever blocking.
 
     Args:
-        descriptor: Where to write; it is made non-blocking.
-        clock: Function that returns seconds, for the limits.
-        wall: Function that returns the time of day in seconds.
+        descriptor: File descriptor to write to; it is made non-blocking.
+        clock: Function that returns monotonic time in seconds, for the limits.
+        wall: Function that returns wall-clock time in seconds.
+
+    Attributes:
+        lost: Number of events of which the line could not be written.
     """
 
     def __init__(self, descriptor, clock=time.monotonic, wall=time.time):
@@ -54,34 +63,34 @@
         self._descriptor = descriptor
         self._clock = clock
         self._wall = wall
-        self._allowances = {}
+        self._limits = {}
         self._rest = b""
         self.lost = 0
 
     def write(self, kind, event):
-        """Write a line that is always kept: starts, stops, changed beliefs.
+        """Write an event that is not rate-limited, such as a start or a stop.
 
         Args:
-            kind: What happened, one word.
-            event: `NamedTuple` with its fields.
+            kind: Kind of event, one word.
+            event: `NamedTuple` with the fields of the event.
         """
-        self._put(kind, event._asdict())
+        self._write_line(kind, event._asdict())
 
     def sample(self, kind, event):
-        """Write a line about one request, within the limit of its kind."""
+        """Write an event of a single request, within the rate limit of its kind."""
         now = self._clock()
-        allowance = self._allowances.get(kind)
-        if allowance is None:
-            allowance = self._allowances[kind] = Allowance(now)
-        if not allowance.take(now):
+        limit = self._limits.get(kind)
+        if limit is None:
+            limit = self._limits[kind] = RateLimit(now)
+        if not limit.try_spend(now):
             return
         fields = event._asdict()
-        if allowance.dropped:
-            fields["left_out"] = allowance.dropped
-            allowance.dropped = 0
-        self._put(kind, fields)
+        if limit.dropped:
+            fields["left_out"] = limit.dropped
+            limit.dropped = 0
+        self._write_line(kind, fields)
 
-    def _put(self, kind, fields):
+    def _write_line(self, kind, fields):
         line = json.dumps(
             {"time": round(self._wall(), 3), "event": kind, **fields}, default=str
         )
@@ -91,18 +100,18 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader is gone; there is nobody left to tell.
+            # The reader has closed the pipe, so the error cannot be reported.
             self.lost += 1
             return
-        # The rest of a line that was cut goes first, or two would be mixed.
+        # Write the rest of a partly written line first, or two lines would be mixed.
         self._rest = data[written:]
-        if len(self._rest) > MOST_WAITING:
+        if len(self._rest) > MAX_PENDING_BYTES:
             self.lost += 1
             self._rest = self._rest[: self._rest.index(b"\n") + 1]
 
 
 class Silence:
-    """Takes events and drops them, for tests and tools."""
+    """Log that drops all events, for tests and tools."""
 
     lost = 0
 
@@ -114,20 +123,20 @@
 
 
 class Message(NamedTuple):
-    """An event that needs no more than a sentence."""
+    """An event described by a text alone."""
 
     text: str
 
 
 class Dependency(NamedTuple):
-    """An event: what this daemon relies on was lost, or is back.
+    """An event: a dependency of this daemon was lost or regained.
 
     Attributes:
-        name: What it is.
+        name: Name of the dependency.
         state: "lost" or "regained".
-        problem: Why it was lost, "" when it is back.
-        calls: Calls that were out to it.
-        seconds: How long it was lost, 0 when it has just been.
+        problem: Reason for the loss, "" if the dependency was regained.
+        calls: Calls to the dependency that were in flight.
+        seconds: Duration of the outage, 0 if it has just begun.
     """
 
     name: str
@@ -138,21 +147,21 @@
 
 
 class LogHolder:
-    """Holds the log of the process; tasks all over the package write to it."""
+    """Holder of the process-wide log that `write` and `sample` use."""
 
     log = Silence()
 
 
 def install(log):
-    """Write all events of this process to a log."""
+    """Set the log that receives all events of this process."""
     LogHolder.log = log
 
 
 def write(kind, event):
-    """Write an event that is always kept."""
+    """Write an event that is not rate-limited to the process-wide log."""
     LogHolder.log.write(kind, event)
 
 
 def sample(kind, event):
-    """Write an event about one request, within the limit of its kind."""
+    """Write an event of a single request, within the rate limit of its kind."""
     LogHolder.log.sample(kind, event)
--- a/whinwinch/explanations.py
+++ b/whinwinch/explanations.py
@@ -1,8 +1,9 @@
-"""Why a request failed, from the log lines of several daemons.
+"""Explanation of why a request failed, from the log lines of several daemons.
 
-A request leaves lines at each daemon that refused it, or a call made for it. Read
-alone, each tells what was decided there; put in order, with what those daemons had
-lost or were told shortly before, they tell what decided the outcome.
+Each daemon that refused a request, or a call made for it, logs a line with its own
+decision. Sorted by time, and together with the dependencies that those daemons lost
+and the configuration that they received shortly before, the lines show which decision
+determined the outcome.
 """
 
 import json
@@ -11,39 +12,39 @@
 
 from .messages import Reason
 
-# Changes of what a daemon believes, worth showing beside its decisions.
-CONTEXT = ("configuration", "dependency", "backend", "stop", "start", "reload")
-# So long before the first decision a change still counts as its context, in seconds.
-CONTEXT_SECONDS = 10.0
-# Fields that every line has, or that are shown in its own words.
-_SHOWN_APART = ("time", "event", "root", "attempt", "left_out")
+# Events that are shown as context of a daemon's decisions.
+CONTEXT_EVENTS = ("configuration", "dependency", "backend", "stop", "start", "reload")
+# Seconds before the first decision from which such events are shown.
+MAX_CONTEXT_AGE = 10.0
+# Fields that are not shown as ``name=value``.
+_OMITTED_FIELDS = ("time", "event", "root", "attempt", "left_out")
 
 MEANINGS = {
     Reason.NONE: "no reason was given",
-    Reason.LEVEL: "a service that it needs is full, and admits only more important "
-    "requests; it was refused before any work was done",
-    Reason.QUEUE: "the backend server is full, and so is the queue in front of it",
-    Reason.SHARE: "its caller asked for more than its share of a full service",
-    Reason.DEADLINE: "it could not be answered in the time that was left, or had "
-    "waited for a slot as long as it may",
-    Reason.LEAVING: "the backend server, or the daemon beside it, was leaving",
+    Reason.LEVEL: "a service that it needs is overloaded and admits only more "
+    "important requests; it was refused before any work was done",
+    Reason.QUEUE: "the backend server has no free slot, and its queue is full",
+    Reason.SHARE: "its caller exceeded its share of an overloaded service",
+    Reason.DEADLINE: "it could not be answered before its deadline, or had waited "
+    "for a slot for the maximum time",
+    Reason.LEAVING: "the backend server or its daemon was leaving",
     Reason.NOT_READY: "the daemon had not read a configuration yet",
     Reason.NO_ENDPOINT: "no backend server of the service was known or left to try",
-    Reason.NOT_SENT: "no connection could be had, so nothing was sent",
-    Reason.BROKEN: "the connection broke, or the answer was not whole, after the "
+    Reason.NOT_SENT: "no connection could be established, so nothing was sent",
+    Reason.BROKEN: "the connection broke, or the answer was incomplete, after the "
     "request had been sent",
-    Reason.ABANDONED: "the daemon that had taken it knows nothing of it any more",
+    Reason.ABANDONED: "the daemon that had accepted it no longer has any record of it",
     Reason.LOG_DOWN: "the platform's log did not answer",
-    Reason.KEY_CLAIMED: "another attempt with the same key runs or has run",
-    Reason.KEY_AGE: "its key is too old for the log to tell whether it has run",
-    Reason.KEY_MISSING: "it has no key, which its call needs",
-    Reason.REPEATS: "it was a repeat, and the budget of repeats was spent",
-    Reason.SHED: "the backend server turned it down itself",
-    Reason.WRONG_BACKEND: "another backend server has got the address",
-    Reason.NO_ROUTE: "no route of the configuration in force leads anywhere",
-    Reason.TOO_DEEP: "it had passed too many services",
-    Reason.BAD_REQUEST: "it could not be read",
-    Reason.DEEPER: "a service further down refused a call made for it",
+    Reason.KEY_CLAIMED: "another attempt with the same key is running or has run",
+    Reason.KEY_AGE: "its key is too old to determine from the log whether it has run",
+    Reason.KEY_MISSING: "it has no idempotency key, which its call requires",
+    Reason.REPEATS: "it was a repeat, and the repeat budget was exhausted",
+    Reason.SHED: "the backend server itself refused it",
+    Reason.WRONG_BACKEND: "the address now belongs to another backend server",
+    Reason.NO_ROUTE: "no route of the configuration in force matches it",
+    Reason.TOO_DEEP: "it had passed through too many services",
+    Reason.BAD_REQUEST: "it could not be parsed",
+    Reason.DEEPER: "a service further down the call graph refused a call made for it",
 }
 
 
@@ -51,15 +52,16 @@
     """One structured log line.
 
     Attributes:
-        time: Time of day in seconds.
-        source: The last word before it, else the name of its file.
+        time: Wall-clock time in seconds.
+        source: Name of the daemon: the last word before the JSON object, or the
+            name of the log file if there is none.
         event: Kind of event.
-        root: Identifier of the request that it is about, "" for none.
+        root: Identifier of the root request, "" for none.
         attempt: Identifier of the attempt, "" for none.
-        reason: `Reason`, None where it states none.
-        is_final: Whether it says that nothing more was tried.
-        left_out: Lines of its kind that were left out before it.
-        rest: Its other fields, as ``name=value``.
+        reason: `Reason` of the decision, None if the line has none.
+        is_final: Whether the request was not tried again after this line.
+        left_out: Lines of the same kind that were left out before this one.
+        rest: Other fields as ``name=value``.
     """
 
     time: float
@@ -74,19 +76,24 @@
 
 
 class Logs(NamedTuple):
-    """What was read: the lines in order of time, and how many can't be read."""
+    """Contents of log files.
+
+    Attributes:
+        lines: Structured lines, sorted by time.
+        unreadable: Number of lines that could not be parsed.
+    """
 
     lines: tuple[Line, ...]
     unreadable: int
 
 
 class Explanation(NamedTuple):
-    """What the logs say of one request.
+    """Log lines that explain the outcome of one request.
 
     Attributes:
-        lines: Its lines and their context, in order of time.
-        deciding: The line that decided the outcome, None where there is none.
-        left_out: Lines about other decisions of that time that were left out.
+        lines: Lines of the request and their context, sorted by time.
+        deciding: Line that determined the outcome, None if there is none.
+        left_out: Lines that the same daemons left out during that time.
     """
 
     lines: tuple[Line, ...]
@@ -95,10 +102,10 @@
 
 
 def read_logs(paths):
-    """Return the `Logs` of some files.
+    """Return the `Logs` read from files.
 
     Raises:
-        OSError: When a file can't be read.
+        OSError: If a file cannot be read.
     """
     lines, unreadable = [], 0
     for path in paths:
@@ -118,7 +125,7 @@
 
 
 def read_fields(text):
-    """Return the fields of a structured line by name, None when it is none."""
+    """Return the fields of a structured line by name, None if it is invalid."""
     try:
         fields = json.loads(text)
         float(fields["time"]), str(fields["event"])
@@ -128,7 +135,7 @@
 
 
 def parse_line(text, source):
-    """Return the `Line` of a text, None when it is no structured line."""
+    """Return the `Line` parsed from a JSON text, None if it is invalid."""
     fields = read_fields(text)
     if fields is None:
         return None
@@ -140,7 +147,7 @@
     rest = tuple(
         f"{name}={_format_value(value)}"
         for name, value in fields.items()
-        if name not in _SHOWN_APART and value != ""
+        if name not in _OMITTED_FIELDS and value != ""
     )
     return Line(
         time,
@@ -164,27 +171,29 @@
 
     Args:
         logs: `Logs`.
-        identifier: The identifier that its caller gave it, or one of an attempt.
+        identifier: Identifier that the caller sent, or that of an attempt.
     """
-    own = [line for line in logs.lines if identifier in (line.root, line.attempt)]
-    if not own:
+    matches = [line for line in logs.lines if identifier in (line.root, line.attempt)]
+    if not matches:
         return Explanation((), None, 0)
-    sources = {line.source for line in own}
-    first, last = own[0].time - CONTEXT_SECONDS, own[-1].time
-    near = [line for line in logs.lines if first <= line.time <= last]
+    sources = {line.source for line in matches}
+    first, last = matches[0].time - MAX_CONTEXT_AGE, matches[-1].time
+    nearby = [line for line in logs.lines if first <= line.time <= last]
     context = [
-        line for line in near if line.event in CONTEXT and line.source in sources
+        line
+        for line in nearby
+        if line.event in CONTEXT_EVENTS and line.source in sources
     ]
-    lines = sorted({*own, *context}, key=lambda line: line.time)
-    left_out = sum(line.left_out for line in near if line.source in sources)
-    return Explanation(tuple(lines), find_deciding(own), left_out)
+    lines = sorted({*matches, *context}, key=lambda line: line.time)
+    left_out = sum(line.left_out for line in nearby if line.source in sources)
+    return Explanation(tuple(lines), find_deciding(matches), left_out)
 
 
 def find_deciding(lines):
-    """Return the line of a request that decided what became of it, or None.
+    """Return the line that determined the outcome of a request, or None.
 
-    That is the refusal behind the first answer after which nothing more was tried:
-    what is refused later is refused because the request has failed already.
+    This is the refusal that caused the first final answer. Later refusals only
+    follow from the request having failed already.
     """
     for line in lines:
         if line.event != "answered" or not line.is_final:
@@ -199,11 +208,11 @@
 
 
 def format_explanation(explanation, identifier):
-    """Return the text that is shown of an `Explanation`."""
+    """Return the text of an `Explanation` for the user."""
     if not explanation.lines:
         return (
-            f"No line tells of {identifier}. A request that was served without a "
-            "refusal leaves none; under load the lines of some refusals are left out."
+            f"No line mentions {identifier}. A request that was served without a "
+            "refusal is not logged; under load the lines of some refusals are left out."
         )
     texts = [_format_line(line, explanation.deciding) for line in explanation.lines]
     deciding = explanation.deciding
@@ -212,7 +221,7 @@
         texts.append(f"\nDecided at {deciding.source}: {meaning}.")
     if explanation.left_out:
         texts.append(
-            f"{explanation.left_out} lines of these daemons were left out in that time."
+            f"{explanation.left_out} lines of these daemons were left out meanwhile."
         )
     return "\n".join(texts)
 
--- a/whinwinch/fleet.py
+++ b/whinwinch/fleet.py
@@ -1,4 +1,4 @@
-"""The state of hundreds of daemons at a glance, from their metrics pages."""
+"""Summary of the state of all daemons, read from their metrics pages."""
 
 import collections
 import concurrent.futures
@@ -12,15 +12,15 @@
 from .metrics import PREFIX
 
 PATH = "/metrics"
-# A daemon that takes longer is as good as unreachable to who looks for a fault.
-FETCH_SECONDS = 3.0
-# Pages fetched at once.
-FETCHERS = 32
-# Addresses and reasons that are named; of the rest only the number is told.
-MOST_NAMED = 6
-REASONS_NAMED = 2
-# Fields of a `Page` by the names of series.
-_PLAIN = {
+# Seconds after which a daemon counts as unreachable.
+FETCH_TIMEOUT = 3.0
+# Maximum number of concurrent requests.
+MAX_CONCURRENT_FETCHES = 32
+# Maximum number of addresses and reasons that are listed.
+MAX_LISTED = 6
+MAX_LISTED_REASONS = 2
+# Fields of `DaemonState` by names of series.
+_FIELDS = {
     "configuration_version": "version",
     "slots": "slots",
     "limit": "limit",
@@ -31,28 +31,28 @@
 
 
 class Refused(NamedTuple):
-    """What refusals are told apart by: place, route and reason."""
+    """Key by which refusals are counted: place, route and reason."""
 
     at: str
     route: str
     reason: str
 
 
-class Page(NamedTuple):
-    """What the page of one daemon says.
+class DaemonState(NamedTuple):
+    """State of one daemon according to its metrics page.
 
     Attributes:
-        address: Where it was read.
-        service: Service of its backend server, "" while none is known.
-        zone: Its availability zone.
-        leaving: Whether its backend server takes no new work.
+        address: Address of the metrics page.
+        service: Service of the daemon's backend server, "" if there is none.
+        zone: Availability zone of the backend server.
+        leaving: Whether the backend server accepts no new work.
         version: Version of the configuration in force.
         slots: Slots of the backend server.
-        limit: Limit on requests inside it.
-        inside: Requests inside it.
-        waiting: Requests that wait for it.
-        ended: Requests that have left it since its start.
-        level: Highest admission level of its routes.
+        limit: Limit on requests inside the backend server.
+        inside: Requests inside the backend server.
+        waiting: Requests waiting for a slot of the backend server.
+        ended: Requests that have left the backend server since its start.
+        level: Maximum admission level of all routes.
         refused: Refusals since the daemon's start, by `Refused`.
         set_aside: Endpoints that the daemon has set aside.
     """
@@ -73,20 +73,20 @@
 
 
 class Service(NamedTuple):
-    """What the daemons of one service say together.
+    """Aggregated state of the daemons of one service.
 
     Attributes:
-        name: Its name, "" for daemons that know no backend server.
-        daemons: How many there are.
-        zones: How many availability zones they are in.
-        leaving: How many of their backend servers take no new work.
-        slots: Their slots.
-        limit: Their limits.
-        inside: Requests inside.
-        waiting: Requests that wait.
-        ended: Requests a second that left the backend servers.
-        level: Highest admission level.
-        refused: Refusals a second at these daemons, by `Refused`.
+        name: Name of the service, "" for daemons without a backend server.
+        daemons: Number of daemons.
+        zones: Number of availability zones.
+        leaving: Number of backend servers that accept no new work.
+        slots: Sum of slots.
+        limit: Sum of limits on requests inside the backend servers.
+        inside: Requests inside the backend servers.
+        waiting: Requests waiting for a slot.
+        ended: Requests per second that left the backend servers.
+        level: Maximum admission level.
+        refused: Refusals per second at these daemons, by `Refused`.
     """
 
     name: str
@@ -103,13 +103,13 @@
 
 
 class Fleet(NamedTuple):
-    """The state of all daemons.
+    """State of all daemons.
 
     Attributes:
-        services: `Service` tuples, the one that refuses most first.
-        versions: Addresses by version of the configuration in force.
-        set_aside: How many daemons have set an endpoint aside, by its address.
-        unreachable: Addresses without a page.
+        services: `Service` tuples, sorted by descending rate of refusals.
+        versions: Lists of addresses by version of the configuration in force.
+        set_aside: Number of daemons that set an endpoint aside, by its address.
+        unreachable: Addresses of which the metrics page could not be read.
     """
 
     services: tuple[Service, ...]
@@ -119,63 +119,74 @@
 
 
 def look(addresses, seconds):
-    """Read all pages twice and return the `Fleet`.
+    """Read all metrics pages twice and return the `Fleet`.
 
     Args:
         addresses: "HOST:PORT" of the daemons' metrics pages.
-        seconds: Time between both, over which rates are taken.
+        seconds: Seconds between both reads, the interval for rates.
 
     Raises:
-        UserError: When no page can be read.
+        UserError: If no page can be read.
     """
     started = time.monotonic()
-    before = fetch_pages(addresses)
+    before = fetch_states(addresses)
     if not before:
         raise UserError("none of the daemons' metrics pages could be read")
     time.sleep(max(0.0, started + seconds - time.monotonic()))
-    after = fetch_pages(addresses)
-    return add_up(addresses, before, after, time.monotonic() - started)
+    after = fetch_states(addresses)
+    return aggregate(addresses, before, after, time.monotonic() - started)
 
 
-def fetch_pages(addresses):
-    """Return the `Page` tuples that can be read, by address."""
-    timeout = urllib3.Timeout(total=FETCH_SECONDS)
+def fetch_states(addresses):
+    """Return the `DaemonState` of each reachable daemon, by address."""
+    timeout = urllib3.Timeout(total=FETCH_TIMEOUT)
     with (
-        urllib3.PoolManager(num_pools=FETCHERS, retries=False, timeout=timeout) as pool,
-        concurrent.futures.ThreadPoolExecutor(FETCHERS) as threads,
+        urllib3.PoolManager(
+            num_pools=MAX_CONCURRENT_FETCHES, retries=False, timeout=timeout
+        ) as pool,
+        concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_FETCHES) as threads,
     ):
-        pages = threads.map(lambda address: _fetch_page(pool, address), addresses)
-        return {page.address: page for page in pages if page is not None}
+        states = threads.map(lambda address: _fetch_state(pool, address), addresses)
+        return {state.address: state for state in states if state is not None}
 
 
-def _fetch_page(pool, address):
+def _fetch_state(pool, address):
     try:
         answer = pool.request("GET", f"http://{address}{PATH}")
     except urllib3.exceptions.HTTPError as error:
-        logging.info("no page from %s, listed as unreachable: %s", address, error)
+        logging.info(
+            "metrics page of %s cannot be read, listed as unreachable: %s",
+            address,
+            error,
+        )
         return None
     if answer.status != 200:
         return None
-    return read_page(address, answer.data.decode())
+    return parse_state(address, answer.data.decode())
 
 
-def read_page(address, text):
-    """Return the `Page` of a metrics page's text."""
+def parse_state(address, text):
+    """Return the `DaemonState` parsed from a metrics page."""
     from prometheus_client.parser import text_string_to_metric_families
 
-    page, levels, refused, aside = Page(address), [0.0], collections.Counter(), []
+    state, levels, refused, aside = (
+        DaemonState(address),
+        [0.0],
+        collections.Counter(),
+        [],
+    )
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
             name = sample.name.removeprefix(f"{PREFIX}_")
             labels, value = sample.labels, sample.value
             if name == "backend":
-                page = page._replace(
+                state = state._replace(
                     service=labels["service"],
                     zone=labels["zone"],
                     leaving=labels["state"] != "ready",
                 )
-            elif name in _PLAIN:
-                page = page._replace(**{_PLAIN[name]: int(value)})
+            elif name in _FIELDS:
+                state = state._replace(**{_FIELDS[name]: int(value)})
             elif name == "level":
                 levels.append(value)
             elif name == "refusals_total":
@@ -183,61 +194,61 @@
                 refused[kind] += int(value)
             elif name == "set_aside":
                 aside.append(labels["endpoint"])
-    return page._replace(level=max(levels), refused=refused, set_aside=tuple(aside))
+    return state._replace(level=max(levels), refused=refused, set_aside=tuple(aside))
 
 
-def add_up(addresses, before, after, seconds):
-    """Return the `Fleet` of pages read twice.
+def aggregate(addresses, before, after, seconds):
+    """Return the `Fleet` aggregated from two reads of the metrics pages.
 
     Args:
-        addresses: All addresses asked for.
-        before: `Page` tuples by address.
-        after: The same, later.
-        seconds: Time between both.
+        addresses: All requested addresses.
+        before: `DaemonState` tuples of the first read, by address.
+        after: `DaemonState` tuples of the second read, by address.
+        seconds: Seconds between both reads.
     """
     by_service = collections.defaultdict(list)
     versions = collections.defaultdict(list)
     set_aside = collections.Counter()
-    for address, page in sorted(after.items()):
-        by_service[page.service].append(page)
-        versions[page.version].append(address)
-        set_aside.update(page.set_aside)
+    for address, state in sorted(after.items()):
+        by_service[state.service].append(state)
+        versions[state.version].append(address)
+        set_aside.update(state.set_aside)
     services = [
-        _add_up_service(name, pages, before, seconds)
-        for name, pages in by_service.items()
+        _aggregate_service(name, states, before, seconds)
+        for name, states in by_service.items()
     ]
     services.sort(key=lambda service: (-service.refused.total(), service.name))
     unreachable = tuple(address for address in addresses if address not in after)
     return Fleet(tuple(services), dict(versions), set_aside, unreachable)
 
 
-def _add_up_service(name, pages, before, seconds):
+def _aggregate_service(name, states, before, seconds):
     refused, ended = collections.Counter(), 0
-    for page in pages:
-        earlier = before.get(page.address)
-        if earlier is None or earlier.ended > page.ended:
-            # It has started since, and counts from 0.
-            earlier = Page(page.address)
-        ended += page.ended - earlier.ended
-        refused.update(page.refused - earlier.refused)
+    for state in states:
+        earlier = before.get(state.address)
+        if earlier is None or earlier.ended > state.ended:
+            # The daemon was started or restarted in between and counts from 0.
+            earlier = DaemonState(state.address)
+        ended += state.ended - earlier.ended
+        refused.update(state.refused - earlier.refused)
     rates = collections.Counter({k: n / seconds for k, n in refused.items()})
     return Service(
         name,
-        len(pages),
-        len({page.zone for page in pages}),
-        sum(page.leaving for page in pages),
-        sum(page.slots for page in pages),
-        sum(page.limit for page in pages),
-        sum(page.inside for page in pages),
-        sum(page.waiting for page in pages),
+        len(states),
+        len({state.zone for state in states}),
+        sum(state.leaving for state in states),
+        sum(state.slots for state in states),
+        sum(state.limit for state in states),
+        sum(state.inside for state in states),
+        sum(state.waiting for state in states),
         ended / seconds,
-        max(page.level for page in pages),
+        max(state.level for state in states),
         rates,
     )
 
 
 def render_fleet(fleet):
-    """Return the lines that tell the state of a `Fleet`."""
+    """Return the lines of text that show a `Fleet`."""
     lines = [
         "service      daemons zones leaving  slots  limit inside waiting  ended/s"
         " level refused/s"
@@ -246,23 +257,23 @@
     newest = max(fleet.versions, default=0)
     lines.append("")
     for version, addresses in sorted(fleet.versions.items(), reverse=True):
-        behind = "" if version == newest else f": {_name_some(addresses)}"
+        behind = "" if version == newest else f": {_list_some(addresses)}"
         lines.append(f"version {version} in force at {len(addresses)}{behind}")
-    for endpoint, count in fleet.set_aside.most_common(MOST_NAMED):
+    for endpoint, count in fleet.set_aside.most_common(MAX_LISTED):
         lines.append(f"set aside by {count}: {endpoint}")
     if fleet.unreachable:
         count = len(fleet.unreachable)
-        lines.append(f"no page from {count}: {_name_some(fleet.unreachable)}")
+        lines.append(f"no page from {count}: {_list_some(fleet.unreachable)}")
     return lines
 
 
 def _render_service(service):
     reasons = ", ".join(
         f"{rate:.1f} {kind.reason} at {kind.at}"
-        for kind, rate in _sum_reasons(service.refused).most_common(REASONS_NAMED)
+        for kind, rate in _sum_reasons(service.refused).most_common(MAX_LISTED_REASONS)
     )
     return (
-        f"{service.name or '(none known)':<12} {service.daemons:>7} {service.zones:>5}"
+        f"{service.name or '(none)':<12} {service.daemons:>7} {service.zones:>5}"
         f" {service.leaving:>7} {service.slots:>6} {service.limit:>6}"
         f" {service.inside:>6} {service.waiting:>7} {service.ended:>8.1f}"
         f" {service.level:>5.2f} {service.refused.total():>9.1f}  {reasons}"
@@ -270,13 +281,13 @@
 
 
 def _sum_reasons(refused):
-    """Return refusals by place and reason, whatever their route."""
+    """Return the rates of refusals by place and reason, summed over routes."""
     sums = collections.Counter()
     for kind, rate in refused.items():
         sums[kind._replace(route="")] += rate
     return sums
 
 
-def _name_some(addresses):
-    named = ", ".join(addresses[:MOST_NAMED])
-    return named + (", ..." if len(addresses) > MOST_NAMED else "")
+def _list_some(addresses):
+    named = ", ".join(addresses[:MAX_LISTED])
+    return named + (", ..." if len(addresses) > MAX_LISTED else "")
--- a/whinwinch/gauges.py
+++ b/whinwinch/gauges.py
@@ -1,4 +1,4 @@
-"""What a daemon on the event loop tells of the moment, for its metrics page."""
+"""Gauges of a daemon's current state, for its metrics page."""
 
 from . import loadlog
 from .metrics import Gauge, Label
@@ -9,7 +9,7 @@
 
     Args:
         instance: The instance.
-        now: Time of the loop's clock.
+        now: Time of the event loop's clock in seconds.
     """
     load = instance.guard.load()
     usage = instance.guard.measure_usage()
@@ -57,5 +57,5 @@
 
 
 def build_labels(**values):
-    """Return `metrics.Label` tuples of names and values."""
+    """Return `metrics.Label` tuples from keyword arguments."""
     return tuple(Label(name, value) for name, value in values.items())
--- a/whinwinch/metrics.py
+++ b/whinwinch/metrics.py
@@ -1,8 +1,8 @@
-"""Latency histograms and counters of a daemon, as text for a collector.
+"""Latency histograms and counters of a daemon, exported in Prometheus text format.
 
-Each series costs memory for ever, so all sets of labels are bounded: a caller
-who makes up service names would otherwise fill the daemon's memory. What is
-beyond the bound is counted under `OTHER`.
+Each series occupies memory for the lifetime of the daemon, so the number of label
+sets is bounded: a caller that sends invented service names would otherwise exhaust
+the memory. Series beyond the bound are aggregated under `OTHER`.
 """
 
 import threading
@@ -17,41 +17,42 @@
 OTHER = "other"
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 LATENCY = "latency_seconds"
-# What each series tells, for whoever meets it in a collector.
+# Help texts of the series.
 HELP = {
-    LATENCY: "Time from arrival to the whole answer of completed calls.",
-    "calls_total": "Ends of calls by outcome and reason.",
-    "retries_total": "Retries that requests which entered here have caused.",
+    LATENCY: "Time from arrival to the complete answer of completed calls.",
+    "calls_total": "Finished calls by outcome and reason.",
+    "retries_total": "Retries caused by requests that entered the mesh at this daemon.",
     "claims_total": "Claims of non-idempotent work by the log's verdict.",
     "events_total": "Requests that were not routed.",
     "sent_bytes_total": "Bytes sent to other daemons, by kind of message and zone.",
-    "sent_messages_total": "Messages sent to other daemons, likewise.",
-    "refusals_total": "Refusals without a run, at the entry or the gatekeeper.",
-    "store_calls_total": "Calls to the platform's store by what is known of them.",
-    "backend": "The own backend server: its service, zone and state; 1 for known.",
-    "slots": "Requests that the own backend server says it can work on at once.",
-    "set_aside": "Endpoints that this daemon gives no work but probes.",
+    "sent_messages_total": "Messages sent to other daemons, by kind and zone.",
+    "refusals_total": "Requests refused before execution, by place and reason.",
+    "store_calls_total": "Calls to the platform's store by result.",
+    "backend": "The local backend server: its service, zone and state; always 1.",
+    "slots": "Slots for concurrent requests that the local backend server reports.",
+    "set_aside": "Endpoints that this daemon has set aside and only probes.",
     "ended_total": "Requests that have left the backend server since its start.",
-    "slot_seconds_total": "Seconds that requests have spent in its slots.",
+    "slot_seconds_total": "Seconds that requests have occupied its slots.",
     "in_service": "Requests inside the backend server.",
-    "waiting": "Requests that wait for a slot of the backend server.",
-    "limit": "Present limit on requests inside the backend server.",
-    "level": "Admission level of a route, 0 for all admitted to 4 for none.",
-    "links": "Other daemons that this one is connected with.",
+    "waiting": "Requests waiting for a slot of the backend server.",
+    "limit": "Current limit on requests inside the backend server.",
+    "level": "Admission level of a route, from 0 (all admitted) to 4 (none admitted).",
+    "links": "Other daemons that this daemon is connected to.",
     "configuration_version": "Version of the configuration in force.",
-    "configuration_age_seconds": "Time since it came into force here.",
+    "configuration_age_seconds": "Time since it came into force at this daemon.",
 }
 
-# Microseconds. Below a tenth of a millisecond nothing is decided by latency;
-# beyond a minute callers have long gone. Two digits tell 1.4 ms from 1.41 ms.
-LOWEST = 100
-HIGHEST = 60_000_000
+# Range of the histograms in microseconds. No decision depends on latencies below
+# 0.1 ms, and callers do not wait for longer than a minute. Two significant digits
+# are precise enough to distinguish 1.4 ms from 1.41 ms.
+MIN_LATENCY_US = 100
+MAX_LATENCY_US = 60_000_000
 DIGITS = 2
-# Bytes of one count; four of them hold 4 * 10**9 calls of one bucket.
-WORD_SIZE = 4
+# Bytes of each bucket's count; four bytes count up to 4 * 10**9 calls.
+COUNT_BYTES = 4
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
-# A daemon serves one service and calls a few; as entry it may meet all of
-# them. One histogram has 11 kB, so 64 services at 4 importances have 3 MB.
+# A daemon serves one service and calls a few; an entry daemon may call all of them.
+# A histogram occupies 11 kB, so 64 services at 4 importances occupy 3 MB.
 MAX_SERVICES = 64
 MAX_COUNTERS = 1024
 
@@ -66,12 +67,12 @@
 
 
 class Gauge(NamedTuple):
-    """A value of this moment, or a count that is kept elsewhere.
+    """A current value, or a count that is maintained outside of `Metrics`.
 
     Attributes:
         name: Name of the series without the prefix.
-        value: Its value.
-        labels: Its labels.
+        value: Value of the series.
+        labels: Labels of the series.
     """
 
     name: str
@@ -80,27 +81,29 @@
 
 
 class _Counter(NamedTuple):
-    """What a counter counts: its name without the prefix, and its labels."""
+    """Key of a counter: its name without the prefix and its labels."""
 
     name: str
     labels: tuple[Label, ...]
 
 
 class _Latency:
-    """Latencies of one service at one importance."""
+    """Latency histogram and sum of one service at one importance."""
 
     def __init__(self):
-        self.histogram = HdrHistogram(LOWEST, HIGHEST, DIGITS, word_size=WORD_SIZE)
+        self.histogram = HdrHistogram(
+            MIN_LATENCY_US, MAX_LATENCY_US, DIGITS, word_size=COUNT_BYTES
+        )
         self.seconds = 0.0
 
 
 class Metrics:
-    """Counters and histograms; safe to use from all threads.
+    """Thread-safe counters and histograms.
 
     Args:
-        list_gauges: Function without arguments that returns the `Gauge`s of the
-            moment. Called for each rendering only.
-        subject: What calls are told apart by: their service, or their route.
+        list_gauges: Function without arguments that returns the current `Gauge`s.
+            It is called only when the metrics are rendered.
+        subject: Name of the label that distinguishes calls: "service" or "route".
     """
 
     def __init__(
@@ -114,9 +117,9 @@
         self._list_gauges = list_gauges
 
     def note_call(self, service, importance, outcome, reason, seconds, retries):
-        """Note the end of a call, in all metrics that it concerns.
+        """Record the end of a call in all metrics that it affects.
 
-        Only completed calls count towards latency: refusals are quick, and would
+        Only completed calls count towards latency: refusals are quick and would
         make an overloaded service look fast.
 
         Args:
@@ -124,11 +127,11 @@
             importance: `messages.Importance` of the call.
             outcome: `messages.Outcome`.
             reason: `messages.Reason`.
-            seconds: Time from its arrival to its answer.
-            retries: Retries that it caused.
+            seconds: Time from arrival to answer in seconds.
+            retries: Number of retries that the call caused.
         """
-        # A name without endpoints may be made up. Counted under itself it would
-        # take the place of a real service within the bound.
+        # A name without endpoints may be invented. Under its own label it would use
+        # up the bound at the expense of a real service.
         if reason is Reason.NO_ENDPOINT and service not in self._services:
             service = OTHER
         if outcome is Outcome.COMPLETED:
@@ -138,14 +141,14 @@
             self.count_retry(service, retries)
 
     def record_latency(self, service, importance, seconds):
-        """Record how long a call took that got an answer.
+        """Record the latency of a completed call.
 
         Args:
             service: Name of the called service.
             importance: `messages.Importance` of the call.
-            seconds: Time from its arrival to its answer.
+            seconds: Time from arrival to answer in seconds.
         """
-        value = min(max(int(seconds * MICROSECONDS), LOWEST), HIGHEST)
+        value = min(max(int(seconds * MICROSECONDS), MIN_LATENCY_US), MAX_LATENCY_US)
         with self._lock:
             latency = self._latencies.get((service, importance))
             if latency is None:
@@ -154,7 +157,7 @@
             latency.seconds += seconds
 
     def count_outcome(self, service, outcome, reason):
-        """Count how a call ended.
+        """Count a finished call by its outcome and reason.
 
         Args:
             service: Name of the called service.
@@ -169,7 +172,7 @@
         )
 
     def count_retry(self, service, step=1):
-        """Count retries that calls of a service caused."""
+        """Count retries caused by calls of a service."""
         label = Label(self._subject, self._bound_service(service))
         self.count("retries_total", label, step=step)
 
@@ -177,25 +180,25 @@
         """Count a claim of non-idempotent work by its result.
 
         Args:
-            result: A short fixed text such as ``won``, ``lost`` or ``log-down``.
+            result: Short fixed text such as ``won``, ``lost`` or ``log-down``.
         """
         self.count("claims_total", Label("result", result))
 
     def count_event(self, event):
-        """Count an event that has no metric of its own.
+        """Count an event that has no separate metric.
 
         Args:
-            event: A short fixed text such as ``late-answer-dropped``.
+            event: Short fixed text such as ``late-answer-dropped``.
         """
         self.count("events_total", Label("event", event))
 
     def count(self, name, *labels, step=1):
-        """Add to a counter.
+        """Increment a counter.
 
         Args:
             name: Name of the series without the prefix.
-            *labels: `Label`s, always in the same order for a name.
-            step: How much to add.
+            *labels: `Label`s, always in the same order for each name.
+            step: Increment.
         """
         counter = _Counter(name, labels)
         with self._lock:
@@ -205,7 +208,8 @@
 
     def render_metrics(self):
         """Return all series in the text format of Prometheus."""
-        # Imported late: 45 ms and 2.3 MB that only a daemon which is asked needs.
+        # Imported lazily: the import takes 45 ms and 2.3 MB, which daemons that do
+        # not export metrics save.
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
@@ -213,7 +217,7 @@
         return generate_latest(registry).decode()
 
     def collect(self):
-        """Yield all series by name; the library calls this."""
+        """Yield all metric families; called by the Prometheus registry."""
         from prometheus_client.core import Metric
 
         with self._lock:
@@ -239,18 +243,18 @@
         yield from families.values()
 
     def _add_latency(self, service, importance):
-        """Return the latencies of a new series; the lock is held."""
-        key = (self._add_service(service), importance)
+        """Add and return a latency series; the caller holds the lock."""
+        key = (self._admit_service(service), importance)
         return self._latencies.setdefault(key, _Latency())
 
     def _bound_service(self, service):
         if service in self._services or service == OTHER:
             return service
         with self._lock:
-            return self._add_service(service)
+            return self._admit_service(service)
 
-    def _add_service(self, service):
-        """Return the service, `OTHER` when there are too many; the lock is held."""
+    def _admit_service(self, service):
+        """Return the service or `OTHER` beyond the bound; the caller holds the lock."""
         if service in self._services:
             return service
         if len(self._services) >= MAX_SERVICES:
@@ -260,7 +264,7 @@
 
 
 def _list_samples(subject, service, importance, latency):
-    """Yield the samples of one histogram."""
+    """Yield the samples of one latency summary as `Gauge`s."""
     labels = (
         Label(subject, service),
         Label("importance", Importance(importance).name.lower()),
@@ -275,7 +279,7 @@
 
 
 def _find_family(name):
-    """Return the name and the kind of the series that a sample belongs to."""
+    """Return name and type of the metric family that a sample belongs to."""
     if name.startswith(LATENCY):
         return LATENCY, "summary"
     if name.endswith("_total"):
--- a/whinwinch/settings.py
+++ b/whinwinch/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon: flags and environment variables, checked together."""
+"""Settings of a daemon, read from flags and environment variables."""
 
 import ipaddress
 import urllib.parse
@@ -8,13 +8,13 @@
 from .errors import Finding, raise_findings
 
 ENVIRONMENT_PREFIX = "WHINWINCH_"
-HIGHEST_PORT = 65535
-# Windows of keys that fit into the time for which the log keeps records.
-WINDOWS_KEPT = 4
+MAX_PORT = 65535
+# Minimum ratio of the log's retention to the key window.
+MIN_RETENTION_WINDOWS = 4
 
 
 class Address(NamedTuple):
-    """Where a socket listens or is reached."""
+    """Host and port that a socket listens on or connects to."""
 
     host: str
     port: int
@@ -24,16 +24,17 @@
 
 
 class Option(NamedTuple):
-    """One setting.
+    """Definition of one setting.
 
     Attributes:
-        name: Flag without the dashes; the environment variable follows from it.
-        parse: Turns the text into the value; raises ValueError that says what
-            would be right.
-        default: Text taken when nothing is given; None makes it required.
-        help: What it does, with its unit.
-        secret: A secret is read from the environment only, because flags show
-            in the machine's process list.
+        name: Name of the flag without the dashes; the name of the environment
+            variable is derived from it.
+        parse: Function that converts the text to the value; raises ValueError
+            with a description of valid values.
+        default: Text of the default value, None if the setting is required.
+        help: Help text, including the unit.
+        secret: Whether the setting is read from the environment only, because
+            flags are visible in the machine's process list.
     """
 
     name: str
@@ -44,17 +45,17 @@
 
     @property
     def variable(self):
-        """Name of the environment variable."""
+        """Name of the setting's environment variable."""
         return ENVIRONMENT_PREFIX + self.name.upper().replace("-", "_")
 
     @property
     def field(self):
-        """Name of the field of `Settings`."""
+        """Name of the corresponding field of `Settings`."""
         return self.name.replace("-", "_")
 
 
 class Settings(NamedTuple):
-    """Checked settings of one daemon; times in seconds, sizes in bytes."""
+    """Validated settings of one daemon; times in seconds, sizes in bytes."""
 
     address: Address
     backend_address: Address
@@ -79,22 +80,26 @@
 
 
 def parse_address(text):
-    """Parse "host:port" with an IP number as host.
+    """Parse an address of the form "host:port".
 
     Raises:
-        ValueError: When it isn't of that form.
+        ValueError: If the text does not have this form.
     """
     host, separator, port = text.rpartition(":")
-    if not separator or not host or not port.isdigit() or int(port) > HIGHEST_PORT:
+    if not separator or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError("must be HOST:PORT, for example 10.0.0.7:7300")
     return Address(host, int(port))
 
 
 def parse_loopback_address(text):
-    """Parse an address that only this instance reaches.
+    """Parse an address that is reachable only from this instance.
 
-    Whoever reaches it may announce a backend server and be given its callers'
-    requests.
+    Anyone who reaches the address can announce a backend server and receive the
+    requests of its callers.
+
+    Raises:
+        ValueError: If the text is not an IP address of the loopback interface
+            with a port.
     """
     address = parse_address(text)
     if not ipaddress.ip_address(address.host).is_loopback:
@@ -103,12 +108,12 @@
 
 
 def parse_optional_address(text):
-    """Parse an address that may be left out."""
+    """Parse an address; return None for an empty text."""
     return parse_address(text) if text else None
 
 
 def parse_url(text):
-    """Check an http or https URL and return it without a slash at its end."""
+    """Validate an http or https URL and return it without trailing slashes."""
     parts = urllib.parse.urlsplit(text)
     if parts.scheme not in ("http", "https") or not parts.netloc:
         raise ValueError("must be a URL such as http://10.0.0.2:9000")
@@ -116,21 +121,21 @@
 
 
 def parse_name(text):
-    """Check a zone's or region's name."""
+    """Validate the name of an availability zone or a region."""
     if not text or not text.replace("-", "").replace("_", "").isalnum():
-        raise ValueError("must be letters, digits, - and _")
+        raise ValueError("must consist of letters, digits, - and _")
     return text
 
 
 def build_number_parser(kind, low, high):
-    """Return a parser for numbers from `low` to `high`."""
+    """Return a function that parses numbers of a type in the range low to high."""
 
     def parse_number(text):
         try:
             number = kind(text)
         except ValueError:
             number = None
-        # Written this way round, so that "nan" is refused too.
+        # `not low <= number` also rejects "nan"; `number < low` would not.
         if number is None or not low <= number <= high:
             raise ValueError(f"must be a number from {low} to {high}")
         return number
@@ -139,14 +144,14 @@
 
 
 def parse_switch(text):
-    """Parse "on" or "off"."""
+    """Parse "on" or "off" as a bool."""
     if text not in ("on", "off"):
         raise ValueError("must be on or off")
     return text == "on"
 
 
 def parse_verbosity(text):
-    """Check the name of a log level."""
+    """Validate the name of a log level."""
     if text not in ("debug", "info", "warning", "error"):
         raise ValueError("must be debug, info, warning or error")
     return text
@@ -163,8 +168,8 @@
         "backend-address",
         parse_loopback_address,
         None,
-        "HOST:PORT on the loopback interface where the own backend server "
-        "announces itself and places its outgoing calls.",
+        "HOST:PORT on the loopback interface where the local backend server "
+        "announces itself and sends its outgoing calls.",
     ),
     Option(
         "peer-address", parse_address, None, "HOST:PORT where other daemons are served."
@@ -173,13 +178,13 @@
         "admin-address",
         parse_optional_address,
         "",
-        "HOST:PORT where operators are served; none for no administration here.",
+        "HOST:PORT where operators are served; if empty, the admin API is disabled.",
     ),
     Option(
         "advertise",
         parse_optional_address,
         "",
-        "HOST:PORT told to other daemons; by default the peer address.",
+        "HOST:PORT advertised to other daemons; by default the peer address.",
     ),
     Option("zone", parse_name, None, "Availability zone of this instance."),
     Option("region", parse_name, "main", "Region of this instance."),
@@ -201,39 +206,39 @@
         build_number_parser(float, 0.1, 60),
         "3",
         "Seconds after which a backend server that stopped announcing itself "
-        "is forgotten.",
+        "is removed.",
     ),
     Option(
         "key-window",
         build_number_parser(float, 1, 86400),
         "900",
-        "Seconds for which an idempotency key is good; at most a quarter of "
+        "Seconds for which an idempotency key is valid; at most a quarter of "
         "the time for which the log keeps records.",
     ),
     Option(
         "max-requests",
         build_number_parser(int, 1, 100_000),
         "2000",
-        "Requests of callers handled at once, and as many outgoing ones; more are "
-        "refused at once.",
+        "Maximum number of callers' requests in flight, and likewise of outgoing "
+        "calls; further ones are refused immediately.",
     ),
     Option(
         "max-body",
         build_number_parser(int, 0, 1 << 30),
         str(4 << 20),
-        "Largest body of a request or an answer, in bytes.",
+        "Maximum size of the body of a request or an answer, in bytes.",
     ),
     Option(
         "max-header",
         build_number_parser(int, 256, 1 << 20),
         str(32 << 10),
-        "Largest header of a request, in bytes.",
+        "Maximum size of the header of a request, in bytes.",
     ),
     Option(
         "gossip-interval",
         build_number_parser(float, 0.05, 60),
         "1",
-        "Seconds between two probes of other daemons.",
+        "Seconds between probes of other daemons.",
     ),
     Option(
         "trace",
@@ -241,22 +246,22 @@
         "off",
         "Whether to write a trace to standard output, for `whinwinch replay`.",
     ),
-    Option("verbosity", parse_verbosity, "info", "Lowest level that is logged."),
+    Option("verbosity", parse_verbosity, "info", "Minimum level of log messages."),
     Option(
         "operator-tokens",
         str,
         "",
-        "Comma-separated AUTHOR:TOKEN of the operators; none closes the "
-        "administration API.",
+        "Comma-separated AUTHOR:TOKEN pairs of the operators; if empty, the "
+        "admin API is closed.",
         secret=True,
     ),
     Option(
         "peer-token",
         str,
         "",
-        "Comma-separated tokens that the daemons of one mesh show each other, "
-        "the first is sent; none accepts calls from anyone who reaches the peer "
-        "address.",
+        "Comma-separated tokens with which the daemons of one mesh authenticate; "
+        "the first is sent, all are accepted; if empty, anyone who reaches the "
+        "peer address can make calls.",
         secret=True,
     ),
 )
@@ -276,7 +281,7 @@
 
 
 def describe_secrets():
-    """Return the help text for settings that only the environment gives."""
+    """Return the help text of the settings read from the environment only."""
     return "\n".join(
         f"  {option.variable}\n      {option.help}"
         for option in OPTIONS
@@ -285,17 +290,17 @@
 
 
 def read_settings(arguments, environment):
-    """Read and check all settings.
+    """Read and validate all settings.
 
     Args:
-        arguments: Namespace with an attribute for each flag, None when absent.
+        arguments: Namespace with an attribute for each flag, None if absent.
         environment: Mapping of environment variables.
 
     Returns:
-        The checked `Settings`.
+        The validated `Settings`.
 
     Raises:
-        InputErrors: With every wrong or missing setting.
+        InputErrors: With all invalid, missing and unknown settings.
     """
     values = {}
     findings = []
@@ -310,24 +315,26 @@
             findings.append(Finding(place, f"{error}, but is {text!r}"))
     findings.extend(_check_window(values))
     findings.extend(_check_unknown(environment))
-    raise_findings("wrong settings", findings)
+    raise_findings("invalid settings", findings)
     return Settings(**values)
 
 
 def _check_window(values):
-    """Find a key window that the log's records don't outlast by far.
+    """Yield a finding if the key window is too long for the log's retention.
 
-    A claim that retention has dropped while its key is still good would let
-    the work of that key run a second time.
+    If the log dropped a claim while its key is still valid, the work of that key
+    could run a second time.
     """
     window = values.get("key_window", 0.0)
-    retention = values.get("log_retention", window * WINDOWS_KEPT)
-    if window * WINDOWS_KEPT > retention:
-        yield Finding("key-window", f"must be at most log-retention / {WINDOWS_KEPT}")
+    retention = values.get("log_retention", window * MIN_RETENTION_WINDOWS)
+    if window * MIN_RETENTION_WINDOWS > retention:
+        yield Finding(
+            "key-window", f"must be at most log-retention / {MIN_RETENTION_WINDOWS}"
+        )
 
 
 def _find_text(option, arguments, environment):
-    """Return the place and the text of an option; a flag goes first."""
+    """Return location and text of an option; the flag takes precedence."""
     flag = None if option.secret else getattr(arguments, option.field, None)
     if flag is not None:
         return "--" + option.name, flag
@@ -337,14 +344,14 @@
 
 
 def _check_unknown(environment):
-    """Find variables that look like settings but aren't: mostly misspelt ones."""
+    """Yield a finding for each unknown variable with the prefix, such as a typo."""
     known = {option.variable for option in OPTIONS} | CLIENT_VARIABLES
     for name in sorted(environment):
         if name.startswith(ENVIRONMENT_PREFIX) and name not in known:
             yield Finding(name, "is not a setting")
 
 
-# Read by the operators' commands, so not wrong when a daemon sees them.
+# Variables of the operators' commands, which a daemon ignores.
 CLIENT_VARIABLES = frozenset(
     {ENVIRONMENT_PREFIX + "SERVER", ENVIRONMENT_PREFIX + "OPERATOR_TOKEN"}
 )
