--- a/test/test_errors.py
+++ b/test/test_errors.py
@@ -1,4 +1,4 @@
-"""Tests for findings that are reported together."""
+"""Tests of reporting several findings together."""
 
 import unittest
 
--- a/test/test_events.py
+++ b/test/test_events.py
@@ -24,7 +24,7 @@
         self.assertEqual(self.read(), [expected])
 
     def test_lines_about_requests_are_limited_and_counted(self):
-        """Thousands of refusals a second come; their lines cost more than calls."""
+        """Logging thousands of refusals per second would cost more than the calls."""
         for _ in range(1000):
             self.log.sample("refused", events.Message(""))
         self.assertEqual(len(self.read()), events.BURST_LINES)
@@ -32,10 +32,10 @@
         self.log.sample("refused", events.Message(""))
         self.assertEqual(self.read()[0]["left_out"], 1000 - events.BURST_LINES)
 
-    def test_reader_that_does_not_read_blocks_nobody(self):
-        """Whoever collects the lines stands still; calls must go on.
+    def test_stalled_reader_does_not_block_writes(self):
+        """The reader of the log stalls, and a blocking write would stop all calls.
 
-        Lines are lost then, whole ones, and counted.
+        Instead, whole lines are dropped and counted.
         """
         for _ in range(3000):
             self.log.write("change", events.Message("x" * 100))
--- a/test/test_explanations.py
+++ b/test/test_explanations.py
@@ -1,4 +1,4 @@
-"""Tests of what logs tell about a failed request."""
+"""Tests of explaining a failed request from logs."""
 
 import contextlib
 import io
@@ -44,11 +44,11 @@
             code = commands.main(["explain", *words])
         return code, output.getvalue()
 
-    def test_refusal_deep_down_is_found_behind_the_answer(self):
-        """A payout fails with 500, since a call three services down was refused.
+    def test_refusal_further_down_is_found(self):
+        """A payout fails with 500 because a call three services down was refused.
 
-        The daemon that answered the caller knows nothing of why; the one beside the
-        deep service does.
+        The daemon that answered the caller has no record of the reason; the daemon
+        of the refusing service does.
         """
         entry = self.save("entry.log", answer(3.2, "pay-1", "b", "deadline", False))
         deep = self.save(
@@ -66,7 +66,7 @@
         self.assertIn("Decided at deep.log: it could not be answered", text)
         self.assertNotIn("other", text)
 
-    def test_what_the_daemon_had_lost_before_is_shown(self):
+    def test_recently_lost_dependencies_are_shown(self):
         log = self.save(
             "d.log",
             write_line(1.0, "dependency", name="daemon d2", state="lost"),
@@ -99,7 +99,7 @@
         self.assertEqual(code, 1)
         self.assertIn("No line mentions r", text)
 
-    def test_file_that_is_missing(self):
+    def test_missing_file(self):
         with contextlib.redirect_stderr(io.StringIO()) as errors:
             self.assertEqual(commands.main(["explain", "r", "/nowhere/x"]), 1)
         self.assertIn("/nowhere/x", errors.getvalue())
--- a/test/test_metrics.py
+++ b/test/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of counters, histograms and their text."""
+"""Tests of counters, histograms and their text format."""
 
 import threading
 import unittest
@@ -28,7 +28,7 @@
         self.assertIn('whinwinch_claims_total{result="w\\"o\\\\n"} 1.0', lines)
         self.assertIn("whinwinch_members 4.0", lines)
 
-    def test_each_series_says_what_it_is(self):
+    def test_series_have_type_and_help(self):
         self.metrics.count_retry("archive")
         self.metrics.record_latency("archive", Importance.HIGH, 0.1)
         lines = self.lines()
@@ -52,10 +52,10 @@
         self.assertEqual(values[f"{name}_count{{{labels}}}"], "100.0")
         self.assertEqual(values[f"{name}_sum{{{labels}}}"], "5.05")
 
-    def test_refusals_do_not_look_like_speed(self):
-        """An overloaded service refuses most calls at once.
+    def test_refusals_do_not_count_towards_latency(self):
+        """An overloaded service refuses most calls immediately.
 
-        Counted as latency, the refusals would make it look faster than ever.
+        If refusals counted towards latency, the service would look fast.
         """
         parts = (Importance.LOW, Outcome.NOT_RUN, Reason.LEVEL, 0.0001, 0)
         for _ in range(99):
@@ -68,7 +68,7 @@
         self.assertIn('retries_total{service="archive"} 3.0\n', text)
         self.assertIn('reason="admission-level",service="archive"} 99.0\n', text)
 
-    def test_names_without_endpoints_take_no_place(self):
+    def test_names_without_endpoints_do_not_use_up_the_bound(self):
         parts = (Importance.LOW, Outcome.NOT_RUN, Reason.NO_ENDPOINT, 0.0001, 0)
         for number in range(2 * metrics.MAX_SERVICES):
             self.metrics.note_call(f"s{number}", *parts)
@@ -77,10 +77,10 @@
         self.assertIn('retries_total{service="archive"} 1.0\n', text)
         self.assertNotIn('"s0"', text)
 
-    def test_made_up_services_are_counted_together(self):
-        """A caller asks for a new service name with every request.
+    def test_invented_services_are_counted_together(self):
+        """A caller sends a new service name with every request.
 
-        Were each kept, the daemon's memory would grow until it is killed.
+        If each name had its own series, the daemon would run out of memory.
         """
         for number in range(5 * metrics.MAX_SERVICES):
             self.metrics.record_latency(f"s{number}", Importance.LOW, 0.001)
--- a/test/test_pages_run.py
+++ b/test/test_pages_run.py
@@ -1,4 +1,4 @@
-"""Runs the commands of the page to start from, as it gives them, in one shell."""
+"""Runs the commands of the getting-started page in one shell, as written there."""
 
 import contextlib
 import os
@@ -18,20 +18,20 @@
 
 TOP = pathlib.Path(__file__).parents[1]
 PAGE = TOP / "docs" / "guides" / "getting-started.md"
-# Nothing here is a verdict on speed: a limit only ends a test that hangs.
-GENEROUS = 120.0
-# Sets up the environment that this test runs in, and takes minutes; the demo
-# that it starts has tests of its own.
-SET_UP = "make demo"
-END = "end of the step, status"
-# What differs from run to run, as the page shows it, and its general form.
+# Seconds; the limit only ends a test that hangs and does not check speed.
+OUTPUT_TIMEOUT = 120.0
+# Not run here: it sets up the environment that this test already runs in, which takes
+# minutes, and starts the demo, which has separate tests.
+SETUP_COMMAND = "make demo"
+END_MARKER = "end of the step, status"
+# Patterns of output that differs from run to run.
 VARYING = (
     r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ",
     r"[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[0-9a-f]{4}-[0-9a-f]{12}",
     r"\b[0-9a-f]{32}\b",
     r"I\d{4} \d\d:\d\d:\d\d\.\d{6} \d+ decisions\.py:\d+",
 )
-# A line of `whinwinch watch`, which goes on beside the other commands.
+# A line of `whinwinch watch`, which runs concurrently with the other commands.
 WATCHED = re.compile(r"\d+ \S+Z \S+ (applied|deleted) by ")
 
 
@@ -40,7 +40,7 @@
 
     Attributes:
         commands: The commands as written.
-        shown: Lines that the page shows as their output.
+        shown: Lines of output that the page shows.
     """
 
     commands: str
@@ -48,7 +48,7 @@
 
 
 class Shell:
-    """A shell with everything that is started in it."""
+    """A shell and all processes started in it."""
 
     def __init__(self, directory):
         environment = {
@@ -72,28 +72,29 @@
         self._reader.start()
 
     def run(self, commands):
-        """Run commands; return their exit status and the lines of output."""
-        # The mark stands on a line of its own, also after output without an end.
-        mark = f"STATUS=$?; echo; echo '{END}' $STATUS"
+        """Run commands and return their exit status and the lines of output."""
+        # The extra `echo` puts the marker on a separate line even if the output does
+        # not end with a newline.
+        mark = f"STATUS=$?; echo; echo '{END_MARKER}' $STATUS"
         self._popen.stdin.write(f"{commands}\n{mark}\n")
         self._popen.stdin.flush()
         lines = []
-        while not lines or not lines[-1].startswith(END):
+        while not lines or not lines[-1].startswith(END_MARKER):
             lines.append(self.read_line())
-        return int(lines.pop().removeprefix(END)), lines
+        return int(lines.pop().removeprefix(END_MARKER)), lines
 
     def read_line(self):
-        """Return the next line of output; fail when none comes."""
+        """Return the next line of output; fail if there is none within the limit."""
         try:
-            line = self._lines.get(timeout=GENEROUS)
+            line = self._lines.get(timeout=OUTPUT_TIMEOUT)
         except queue.Empty:
-            raise AssertionError(f"no output within {GENEROUS} s") from None
+            raise AssertionError(f"no output within {OUTPUT_TIMEOUT} s") from None
         if line is None:
             raise AssertionError("the shell has ended")
         return line
 
     def close(self):
-        """End the shell and whatever a failed step has left running."""
+        """End the shell and all processes that a failed step left running."""
         for number in (signal.SIGTERM, signal.SIGKILL):
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(self._popen.pid, number)
@@ -109,7 +110,7 @@
 
 
 def read_steps(page):
-    """Return the steps of a page, in their order."""
+    """Return the steps of a page in order."""
     steps = []
     for kind, text in re.findall(r"^```(\w+)\n(.*?)^```$", page, re.M | re.S):
         if kind == "sh":
@@ -120,14 +121,14 @@
 
 
 def replace_ports(page):
-    """Return the page with a free port for each port that it names."""
+    """Return the page with each port replaced by a free one."""
     ports = sorted(set(re.findall(r"127\.0\.0\.1:(\d+)", page)))
     free = dict(zip(ports, processes.find_ports(len(ports)), strict=True))
     return re.sub(rf"\b({'|'.join(ports)})\b", lambda found: str(free[found[0]]), page)
 
 
 def compile_shown(line):
-    """Return a pattern for a line that the page shows as output."""
+    """Return a pattern that matches a line of output shown on the page."""
     pattern = re.escape(line).replace(re.escape("..."), ".*")
     for form in VARYING:
         shown = re.search(form, line)
@@ -137,10 +138,10 @@
 
 
 def find_missing(shown, lines):
-    """Return the lines shown that the output lacks, in the page's order.
+    """Return the lines shown on the page that are missing in the output.
 
-    The watch writes whenever it reads a change, so that its lines are compared
-    apart from those of the other commands.
+    Lines of the watch are compared separately from those of the other commands,
+    because the watch prints whenever it reads a change.
     """
     missing = []
     for watched in (False, True):
@@ -157,9 +158,9 @@
 @unittest.skipUnless(shutil.which("curl"), "the page's commands need curl")
 class GettingStartedTest(unittest.TestCase):
     def test_commands_do_what_the_page_says(self):
-        """A command of the page fails for a newcomer, or shows something else."""
+        """A command of the page fails, or its output differs from the page."""
         steps = read_steps(replace_ports(PAGE.read_text(encoding="utf-8")))
-        self.assertEqual(steps[0].commands.strip(), SET_UP)
+        self.assertEqual(steps[0].commands.strip(), SETUP_COMMAND)
         self.assertGreater(len(steps), 10)
         with tempfile.TemporaryDirectory(prefix="whinwinch-") as directory:
             for name in ("whinwinch", "standins"):
@@ -180,7 +181,7 @@
         missing = find_missing(step.shown, lines)
         late = [line for line in missing if WATCHED.match(line)]
         self.assertEqual(missing, late, output)
-        # The watch's line may come after the end of the step.
+        # The line of the watch may be printed after the end of the step.
         while find_missing(step.shown, lines):
             lines.append(shell.read_line())
 
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests for the settings of a daemon."""
+"""Tests of reading and validating the settings of a daemon."""
 
 import argparse
 import unittest
@@ -28,7 +28,7 @@
         self.assertEqual(30.0, found.stop_grace)
         self.assertIsNone(found.advertise)
 
-    def test_a_flag_goes_before_the_environment(self):
+    def test_flag_takes_precedence_over_environment(self):
         self.assertEqual("b", read(["--zone", "b"]).zone)
 
     def test_all_findings_are_reported_at_once(self):
@@ -50,7 +50,7 @@
             settings.read_settings(parser.parse_args([]), {})
         self.assertEqual(5, len(caught.exception.findings))
 
-    def test_strangers_cannot_announce_a_backend_server(self):
+    def test_backend_address_must_be_loopback(self):
         for address in ("0.0.0.0:7301", "10.0.0.1:7301", "localhost:7301"):
             with self.subTest(address), self.assertRaises(errors.InputErrors):
                 read(["--backend-address", address])
