--- a/test/models/__init__.py
+++ b/test/models/__init__.py
@@ -1,6 +1,6 @@
-"""Specifications of the core protocol, checked exhaustively for small bounds.
+"""Models of the core protocol, checked exhaustively within small bounds.
 
-Each model runs the package's own decision functions wherever it can. A test of
-a model asserts that its invariants hold and, for each mechanism, that the
-checker finds a counterexample once the mechanism is taken out.
+Each model calls the package's own decision functions where possible. The test of a
+model asserts that its invariants hold and that the checker finds a counterexample
+when a mechanism is disabled.
 """
--- a/test/models/claim_load.py
+++ b/test/models/claim_load.py
@@ -1,7 +1,7 @@
-"""Trial of claims under load: many gatekeepers, one log of limited speed.
+"""Simulation of claims under load: many gatekeepers share a log of limited speed.
 
-The log works on one append after the other; reads cost it nothing. The clock
-is simulated, so the figures do not hang on the machine. Run it with::
+The log processes one append at a time; reads take it no time. The clock is
+simulated, so the figures don't depend on the machine. Run it with::
 
     python -m test.models.claim_load
 """
@@ -16,18 +16,20 @@
 from whinwinch.logservice import claimer
 
 GATEKEEPERS_PER_SERVICE = 5
-CROSSING = 0.002
-SECONDS = 10.0
+# Seconds from a gatekeeper to the log, and back again.
+NETWORK_DELAY = 0.002
+# Simulated seconds during which claims arrive.
+ARRIVAL_DURATION = 10.0
 SEED = 5
 
 
 class Load(NamedTuple):
-    """What a trial varies.
+    """Parameters of one run.
 
     Attributes:
-        services: Services with keyed work.
-        rate: Claims a second at each gatekeeper.
-        append_time: Seconds that the log works on one append.
+        services: Number of services that receive requests with idempotency keys.
+        rate: Claims per second at each gatekeeper.
+        append_time: Seconds that the log takes to process one append.
     """
 
     services: int
@@ -36,17 +38,17 @@
 
 
 class Report(NamedTuple):
-    """What came out.
+    """Results of one run.
 
     Attributes:
-        asked: Claims made.
-        won: Claims that won; all keys differ, so all should.
-        appends: Appends a second.
+        claim_count: Number of claims made.
+        won: Number of claims that won; all should, since all keys differ.
+        appends: Appends per second.
         median: Median seconds from claim to verdict.
-        slow: The same for 99 in 100.
+        slow: Seconds from claim to verdict that 99 in 100 claims stay within.
     """
 
-    asked: int
+    claim_count: int
     won: int
     appends: float
     median: float
@@ -54,60 +56,66 @@
 
 
 class SlowLog:
-    """A log whose appends of all streams pass one after the other."""
+    """A log that processes the appends of all its streams one at a time."""
 
     def __init__(self, loop, append_time):
         self.loop = loop
         self.append_time = append_time
-        self.free = 0.0
+        self.idle_from = 0.0
         self.appends = 0
 
     def make_runner(self, log):
-        """Return the function that calls one stream's log in simulated time."""
+        """Return a function that calls the log of one stream in simulated time."""
 
         async def run(function, *arguments):
-            await asyncio.sleep(CROSSING)
+            await asyncio.sleep(NETWORK_DELAY)
             if function == log.append:
                 self.appends += 1
-                self.free = max(self.free, self.loop.time()) + self.append_time
-                await asyncio.sleep(self.free - self.loop.time())
+                self.idle_from = (
+                    max(self.idle_from, self.loop.time()) + self.append_time
+                )
+                await asyncio.sleep(self.idle_from - self.loop.time())
             result = function(*arguments)
-            await asyncio.sleep(CROSSING)
+            await asyncio.sleep(NETWORK_DELAY)
             return result
 
         return run
 
 
-async def ask(one, key, attempt, waits, verdicts):
-    """Claim a key and note how long it took."""
+async def make_claim(key_claimer, key, attempt, latencies, verdicts):
+    """Claim a key; record the verdict and the seconds until it arrived."""
     loop = asyncio.get_running_loop()
-    begun = loop.time()
-    verdict = await one.claim(key, attempt, begun + 60.0)
-    waits.append(loop.time() - begun)
+    start = loop.time()
+    verdict = await key_claimer.claim(key, attempt, start + 60.0)
+    latencies.append(loop.time() - start)
     verdicts.append(verdict.verdict)
 
 
-async def arrive(one, name, load, generator, waits, verdicts):
-    """Let claims arrive at one gatekeeper at random."""
+async def generate_claims(key_claimer, name, load, generator, latencies, verdicts):
+    """Make claims at one gatekeeper at exponentially distributed intervals."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + SECONDS
-    asks = []
+    end = loop.time() + ARRIVAL_DURATION
+    tasks = []
     while True:
         await asyncio.sleep(generator.expovariate(load.rate))
         if loop.time() >= end:
             break
         made = START + loop.time()
         key = claims.make_key(made, generator.getrandbits(74))
-        attempt = f"{name}.{len(asks)}"
-        asks.append(asyncio.ensure_future(ask(one, key, attempt, waits, verdicts)))
-    await asyncio.gather(*asks)
+        attempt = f"{name}.{len(tasks)}"
+        tasks.append(
+            asyncio.ensure_future(
+                make_claim(key_claimer, key, attempt, latencies, verdicts)
+            )
+        )
+    await asyncio.gather(*tasks)
 
 
 async def run_load(loop, load):
-    """Run one trial and return its `Report`."""
+    """Simulate one load and return its `Report`."""
     generator = random.Random(SEED)
     slow_log = SlowLog(loop, load.append_time)
-    waits = []
+    latencies = []
     verdicts = []
     arrivals = []
     tasks = []
@@ -116,7 +124,7 @@
         run = slow_log.make_runner(log)
         for number in range(GATEKEEPERS_PER_SERVICE):
             name = f"{service}.{number}"
-            one = claimer.Claimer(
+            key_claimer = claimer.Claimer(
                 log,
                 str(service),
                 name,
@@ -124,23 +132,25 @@
                 run=run,
                 draw=generator.random,
             )
-            tasks.append(loop.create_task(one.run()))
-            arrivals.append(arrive(one, name, load, generator, waits, verdicts))
+            tasks.append(loop.create_task(key_claimer.run()))
+            arrivals.append(
+                generate_claims(key_claimer, name, load, generator, latencies, verdicts)
+            )
     await asyncio.gather(*arrivals)
     for task in tasks:
         task.cancel()
-    waits.sort()
+    latencies.sort()
     return Report(
-        asked=len(waits),
+        claim_count=len(latencies),
         won=verdicts.count(Verdict.WON),
         appends=slow_log.appends / loop.time(),
-        median=waits[len(waits) // 2],
-        slow=waits[len(waits) * 99 // 100],
+        median=latencies[len(latencies) // 2],
+        slow=latencies[len(latencies) * 99 // 100],
     )
 
 
 def main():
-    """Print one line for each load."""
+    """Simulate each load and print its report on one line."""
     for load in (
         Load(services=4, rate=10.0, append_time=0.003),
         Load(services=20, rate=10.0, append_time=0.003),
--- a/test/models/drain_model.py
+++ b/test/models/drain_model.py
@@ -1,9 +1,9 @@
-"""Model of drain and stop: one leaving daemon, requests on their way to it.
+"""Model of drain and stop: one leaving daemon and the requests sent to it.
 
-A request may be sent until its sender has heard of the leave, which is certain
-only some ticks later, and travels for some ticks. The backend server makes one
-call for each request before it answers. Decisions come from the package's own
-`lifecycle` functions; one tick is one second.
+A sender may send requests until it has received the announcement of the leave,
+which takes up to some ticks; a request travels for up to some ticks. The backend
+server makes one call for each request before it answers. Decisions come from the
+package's own `lifecycle` functions; one tick is one second.
 """
 
 from typing import NamedTuple
@@ -13,20 +13,21 @@
 from whinwinch import lifecycle
 from whinwinch.lifecycle import Direction, InFlight, Lifecycle, Phase
 
-# Ticks after which every sender has heard of the leave, and that a message may
-# travel; both together are no more than the quiet time before the stop.
-HEARD = 2
-TRAVEL = 1
-WORK = 3
-ALLOWED = 30.0
+# Maximum ticks until every sender has received the announcement of the leave, and
+# until a request arrives. Their sum is at most the quiet time before the stop.
+MAX_ANNOUNCEMENT_TICKS = 2
+MAX_TRAVEL_TICKS = 1
+# Maximum ticks that a request stays in one phase at the backend server.
+MAX_WORK_TICKS = 3
+STOP_GRACE_SECONDS = 30.0
 
-# The stop signal comes by this tick, so that a run of few ticks sees its end.
-LAST_SIGNAL = 1
+# The stop signal arrives by this tick, so that a run of few ticks reaches the stop.
+LAST_SIGNAL_TICK = 1
 
-UNSENT, ON_WAY, INSIDE, CALLING, CALLED, ANSWERED, NOT_RUN, CUT, UNKNOWN = (
+UNSENT, IN_TRANSIT, ADMITTED, CALLING, CALLED, ANSWERED, NOT_RUN, CUT_OFF, UNKNOWN = (
     "unsent",
-    "on its way",
-    "inside",
+    "in transit",
+    "admitted",
     "calling",
     "called",
     "answered",
@@ -34,19 +35,19 @@
     "cut off",
     "unknown",
 )
-IN_FLIGHT = frozenset({INSIDE, CALLING, CALLED})
-OVER = frozenset({ANSWERED, NOT_RUN, CUT, UNKNOWN})
+IN_FLIGHT = frozenset({ADMITTED, CALLING, CALLED})
+ENDED = frozenset({ANSWERED, NOT_RUN, CUT_OFF, UNKNOWN})
 
 
 class Options(NamedTuple):
-    """Mechanisms taken out, and bounds.
+    """Disabled mechanisms and the bounds of the model.
 
     Attributes:
-        admits: Function that decides on new work.
-        advance: Function that decides on the stop.
-        requests: How many requests there are.
-        ticks: Length of a run.
-        drains: Whether the backend server itself may begin to drain.
+        admits: Function that decides whether new work is admitted.
+        advance: Function that decides whether the daemon stops.
+        requests: Number of requests.
+        ticks: Length of a run in ticks.
+        drains: Whether the backend server itself may start to drain.
     """
 
     admits: object = lifecycle.admits
@@ -60,9 +61,9 @@
     """One request.
 
     Attributes:
-        phase: Where it is.
+        phase: Phase of the request, such as UNSENT or ADMITTED.
         since: Tick of its last step.
-        late: Whether it was let in although the backend server was leaving.
+        late: Whether it was admitted while the backend server was leaving.
     """
 
     phase: str = UNSENT
@@ -71,19 +72,19 @@
 
 
 class State(NamedTuple):
-    """The whole model.
+    """State of the whole model.
 
     Attributes:
         tick: Seconds since the start.
         life: `Lifecycle` of the daemon.
-        told: Tick at which the leave was announced, or -1.
-        arrival: Tick of the last arrival.
-        requests: Each `Request`.
+        announced_at: Tick at which the leave was announced, or -1.
+        arrival: Tick at which the last request arrived.
+        requests: All `Request` objects.
     """
 
     tick: int = 0
     life: Lifecycle = Lifecycle()
-    told: int = -1
+    announced_at: int = -1
     arrival: int = 0
     requests: tuple = ()
 
@@ -97,11 +98,13 @@
         initial=State(requests=(Request(),) * options.requests),
         transitions=lambda state: list(find_steps(state, options)),
         invariants={
-            "a planned stop cuts off no request in flight": lambda d: has_none(d, CUT),
+            "a planned stop cuts off no request in flight": lambda d: has_none(
+                d, CUT_OFF
+            ),
             "a leaving backend server receives no new work": (
                 lambda d: not any(request.late for request in d["requests"])
             ),
-            "work sent before the leave was heard of is known not to have run": (
+            "a request to a leaving daemon gets a definite outcome": (
                 lambda d: has_none(d, UNKNOWN)
             ),
         },
@@ -110,26 +113,26 @@
 
 
 def has_none(fields, phase):
-    """Return whether no request is in a phase."""
+    """Return whether no request is in the given phase."""
     return all(request.phase != phase for request in fields["requests"])
 
 
-def is_over(fields):
-    """Return whether the daemon has stopped and all sent requests are over."""
+def has_ended(fields):
+    """Return whether the daemon has stopped and all sent requests have ended."""
     stopped = fields["life"].phase is Phase.STOPPED
     return stopped and all(
-        request.phase in OVER | {UNSENT} for request in fields["requests"]
+        request.phase in ENDED | {UNSENT} for request in fields["requests"]
     )
 
 
 def find_steps(state, options):
-    """Yield each step as a pair of label and next state."""
+    """Yield each possible step as a pair of its label and the next state."""
     if state.tick < options.ticks and not is_overdue(state):
         yield "tick", state._replace(tick=state.tick + 1)
     now = float(state.tick)
     if state.life.phase is Phase.SERVING:
-        deadline = now + WORK * 3
-        life = lifecycle.begin_leaving(state.life, now, ALLOWED, deadline)
+        deadline = now + MAX_WORK_TICKS * 3
+        life = lifecycle.begin_leaving(state.life, now, STOP_GRACE_SECONDS, deadline)
         yield "stop signal", announce(state, life)
     if options.drains and not lifecycle.is_leaving(state.life):
         life = lifecycle.set_backend_leaving(state.life, True)
@@ -144,39 +147,42 @@
 
 
 def sort_requests(state):
-    """Return the state with the requests in order: they are all alike."""
+    """Return the state with its requests sorted, which merges equivalent states."""
     return state._replace(requests=tuple(sorted(state.requests)))
 
 
 def announce(state, life):
-    """Return the state after the daemon told its peers that it is leaving."""
-    told = state.told if state.told >= 0 else state.tick
-    return state._replace(life=life, told=told)
+    """Return the state after the daemon announced to its peers that it is leaving."""
+    announced_at = state.announced_at if state.announced_at >= 0 else state.tick
+    return state._replace(life=life, announced_at=announced_at)
 
 
 def is_overdue(state):
-    """Return whether something has to happen before the tick ends."""
-    if state.life.phase is Phase.SERVING and state.tick == LAST_SIGNAL:
+    """Return whether a step has to happen before the current tick ends."""
+    if state.life.phase is Phase.SERVING and state.tick == LAST_SIGNAL_TICK:
         return True
     for request in state.requests:
-        if request.phase == ON_WAY and state.tick - request.since >= TRAVEL:
+        if (
+            request.phase == IN_TRANSIT
+            and state.tick - request.since >= MAX_TRAVEL_TICKS
+        ):
             return True
-        if request.phase in IN_FLIGHT and state.tick - request.since >= WORK:
+        if request.phase in IN_FLIGHT and state.tick - request.since >= MAX_WORK_TICKS:
             return True
     return False
 
 
 def count_flight(state):
-    """Return what the daemon has in flight."""
+    """Return the `InFlight` of the daemon."""
     phases = [request.phase for request in state.requests]
     inward = sum(phase in IN_FLIGHT for phase in phases)
     return InFlight(inward, phases.count(CALLING), float(state.arrival))
 
 
 def cut_off(state):
-    """Return the state after the daemon's sockets are gone."""
+    """Return the state after the daemon has closed its sockets."""
     requests = [
-        request._replace(phase=CUT) if request.phase in IN_FLIGHT else request
+        request._replace(phase=CUT_OFF) if request.phase in IN_FLIGHT else request
         for request in state.requests
     ]
     return sort_requests(state._replace(requests=tuple(requests)))
@@ -193,14 +199,14 @@
 
     stopped = state.life.phase is Phase.STOPPED
     if request.phase == UNSENT and may_send(state):
-        yield "send", change(phase=ON_WAY)
-    elif request.phase == ON_WAY and stopped:
-        yield "meets a closed socket", change(phase=UNKNOWN, since=0)
-    elif request.phase == ON_WAY:
+        yield "send", change(phase=IN_TRANSIT)
+    elif request.phase == IN_TRANSIT and stopped:
+        yield "reaches a closed socket", change(phase=UNKNOWN, since=0)
+    elif request.phase == IN_TRANSIT:
         yield "arrive", arrive(state, change, options)
-    elif request.phase == INSIDE:
+    elif request.phase == ADMITTED:
         allowed = options.admits(state.life, Direction.OUTWARD)
-        yield "call", change(phase=CALLING if allowed else CUT)
+        yield "call", change(phase=CALLING if allowed else CUT_OFF)
     elif request.phase == CALLING:
         yield "call answered", change(phase=CALLED)
     elif request.phase == CALLED:
@@ -208,13 +214,16 @@
 
 
 def may_send(state):
-    """Return whether a sender may not have heard of the leave yet."""
-    return state.told < 0 or state.tick - state.told < HEARD
+    """Return whether a sender may not yet have received the announcement."""
+    return (
+        state.announced_at < 0
+        or state.tick - state.announced_at < MAX_ANNOUNCEMENT_TICKS
+    )
 
 
 def arrive(state, change, options):
-    """Return the state after a request reached the daemon."""
+    """Return the state after a request arrived at the daemon."""
     if not options.admits(state.life, Direction.INWARD):
         return change(phase=NOT_RUN, since=0)._replace(arrival=state.tick)
     leaving = lifecycle.is_leaving(state.life)
-    return change(phase=INSIDE, late=leaving)._replace(arrival=state.tick)
+    return change(phase=ADMITTED, late=leaving)._replace(arrival=state.tick)
--- a/test/models/gate_model.py
+++ b/test/models/gate_model.py
@@ -1,8 +1,8 @@
-"""Model of one full backend server: who gets a slot, who is dropped for room.
+"""Model of one full backend server: which requests it serves and which it drops.
 
-A state is the history of what happened; the package's own gate is run through it
-anew. One slot is taken and the queue is nearly full at the start, so that short
-histories reach what matters.
+A state is the history of events, which the package's own gate processes from the
+start each time. Initially the only slot is in use and the queue is nearly full, so
+that short histories reach the relevant states.
 """
 
 from typing import NamedTuple
@@ -13,44 +13,50 @@
 from whinwinch.gate import Verdict
 from whinwinch.messages import Importance, Reason
 
-# Requests differ by these; more kinds show nothing new.
-KINDS = (Importance.LOW, Importance.HIGH, Importance.CRITICAL)
-# One in service, and waiting ones up to one place below the shortest queue.
-START = (Importance.HIGH, Importance.LOW, Importance.HIGH, Importance.LOW)
+# Importances of the requests; the other ones add no new behaviour.
+IMPORTANCES = (Importance.LOW, Importance.HIGH, Importance.CRITICAL)
+# One request in service, and the rest waiting: one fewer than the minimum length of
+# a full queue.
+INITIAL_HISTORY = (Importance.HIGH, Importance.LOW, Importance.HIGH, Importance.LOW)
 STEP_SECONDS = 0.001
-FAR = 1000.0
+FAR_DEADLINE = 1000.0
 ENDS = "ends"
 
 
 class State(NamedTuple):
-    """The whole model: what has happened, each a kind that arrived, or `ENDS`."""
+    """State of the whole model.
 
-    history: tuple = START
+    Attributes:
+        history: Events in order: the importance of a request that arrived, or
+            `ENDS` for the end of the request in service.
+    """
+
+    history: tuple = INITIAL_HISTORY
 
 
-class Taken(NamedTuple):
-    """A decision that took one request before others.
+class Choice(NamedTuple):
+    """A decision that chose one of the waiting requests.
 
     Attributes:
-        taken: Importance of the request that got the slot, or was dropped.
-        others: Importances of those that waited then and still wait.
+        chosen: Importance of the request that received the slot or was dropped.
+        others: Importances of the requests that kept waiting.
     """
 
-    taken: int
+    chosen: int
     others: tuple[int, ...]
 
 
 class Outcome(NamedTuple):
-    """What a history led to.
+    """Decisions of the gate over a history.
 
     Attributes:
-        admitted: `Taken` of each slot that was given to a waiting request.
-        dropped: `Taken` of each request that was refused for want of room.
-        is_busy: Whether something is in service.
+        admitted: `Choice` for each slot that a waiting request received.
+        dropped: `Choice` for each request that was dropped from the full queue.
+        is_busy: Whether a request is in service.
     """
 
-    admitted: tuple[Taken, ...]
-    dropped: tuple[Taken, ...]
+    admitted: tuple[Choice, ...]
+    dropped: tuple[Choice, ...]
     is_busy: bool
 
 
@@ -58,7 +64,7 @@
     """Return the model as a `Protocol`.
 
     Args:
-        events: How many things happen after the start.
+        events: Number of events after the initial history.
         name: Name of the protocol.
     """
     return Protocol(
@@ -68,15 +74,15 @@
         initial=State(),
         transitions=lambda state: list(find_steps(state, events)),
         invariants={
-            "a free slot goes to the most important that waits": (
+            "a free slot goes to the most important waiting request": (
                 lambda fields: all(
-                    each.taken >= max(each.others, default=each.taken)
+                    each.chosen >= max(each.others, default=each.chosen)
                     for each in run(fields["history"]).admitted
                 )
             ),
-            "nobody is dropped for room while a lesser one waits": (
+            "no request is dropped while a less important one waits": (
                 lambda fields: all(
-                    each.taken <= min(each.others, default=each.taken)
+                    each.chosen <= min(each.others, default=each.chosen)
                     for each in run(fields["history"]).dropped
                 )
             ),
@@ -85,53 +91,55 @@
 
 
 def find_steps(state, events):
-    """Yield each step as a pair of label and next state."""
-    if len(state.history) >= len(START) + events:
+    """Yield each possible step as a pair of its label and the next state."""
+    if len(state.history) >= len(INITIAL_HISTORY) + events:
         return
-    for kind in KINDS:
-        yield f"{kind.name} arrives", State((*state.history, kind))
+    for importance in IMPORTANCES:
+        yield f"{importance.name} arrives", State((*state.history, importance))
     if run(state.history).is_busy:
-        yield "the one in service ends", State((*state.history, ENDS))
+        yield "the request in service ends", State((*state.history, ENDS))
 
 
 def run(history):
     """Run the package's gate through a history and return its `Outcome`."""
-    guard = gate.Gate(1, 0.0, ())
-    importances, waiting, inside = {}, [], []
+    tested_gate = gate.Gate(1, 0.0, ())
+    importances, waiting, in_service = {}, [], []
     admitted, dropped = [], []
 
-    def take(decisions):
+    def record_decisions(decisions):
         for decision in decisions:
             name = decision.attempt
             waiting.remove(name)
             others = tuple(int(importances[other]) for other in waiting)
-            taken = Taken(int(importances[name]), others)
+            choice = Choice(int(importances[name]), others)
             if decision.verdict is Verdict.ADMIT:
-                inside.append(name)
-                admitted.append(taken)
+                in_service.append(name)
+                admitted.append(choice)
             elif decision.reason is Reason.QUEUE:
-                dropped.append(taken)
+                dropped.append(choice)
 
     for number, event in enumerate(history):
         now = number * STEP_SECONDS
         if event == ENDS:
-            take(guard.finish(inside.pop(0), now, STEP_SECONDS, True))
+            record_decisions(
+                tested_gate.finish(in_service.pop(0), now, STEP_SECONDS, True)
+            )
             continue
         name = f"r{number}"
         importances[name] = event
-        decision = guard.offer(build_request(name, event), now)
+        decision = tested_gate.offer(build_request(name, event), now)
         if decision.verdict is Verdict.ADMIT:
-            inside.append(name)
+            in_service.append(name)
             continue
         waiting.append(name)
         if decision.verdict is Verdict.REFUSE:
-            take([decision])
-        take(guard.expire(now))
-    return Outcome(tuple(admitted), tuple(dropped), bool(inside))
+            record_decisions([decision])
+        record_decisions(tested_gate.expire(now))
+    return Outcome(tuple(admitted), tuple(dropped), bool(in_service))
 
 
 def build_request(name, importance):
-    """Return a request whose work has begun elsewhere, with time enough."""
+    """Return a request from another daemon with a deadline that is never reached."""
     return messages.Request(
-        name, name, "s", "c", "GET", "/", importance, FAR, via=("entry",)
+        name, name, "s", "c", "GET", "/", importance, FAR_DEADLINE, via=("entry",)
     )
--- a/test/models/grants.py
+++ b/test/models/grants.py
@@ -1,10 +1,10 @@
-"""Trial of grant policies: how many whole requests does one budget save?
+"""Simulation of grant policies: how many requests complete with one retry budget.
 
-Each call of a request tree is refused by its endpoint with some probability, by
-itself, and its answer is lost with another; a retry meets another endpoint with
-the same probabilities. A lost answer returns no retries. A request is whole when
-every call of its tree is answered in the end. Calls below one service go out one
-after the other or all at once. Run it with::
+Each call of a request tree is refused by its endpoint with one probability, and its
+answer is lost with another one, independently of other calls; a retry goes to another
+endpoint with the same probabilities. A lost answer returns no retries. A request
+completes if every call of its tree is answered in the end. The calls of one service
+are sequential or concurrent. Run it with::
 
     python -m test.models.grants
 """
@@ -15,7 +15,8 @@
 from whinwinch import retries
 from whinwinch.retries import Ledger
 
-FOREVER = 1.0
+# Expiry time in seconds; the clock of the simulation stays at 0.
+EXPIRES = 1.0
 REQUESTS = 1_000
 SEED = 7
 
@@ -24,22 +25,22 @@
     """Shape of a request tree.
 
     Attributes:
-        depth: Hops below the entry.
-        fan_out: Calls of each service to the next level.
-        together: Whether the calls of one service go out all at once.
+        depth: Levels of calls below the service that the entry daemon calls.
+        fan_out: Number of calls that each service makes to the next level.
+        concurrent: Whether the calls of one service are made concurrently.
     """
 
     depth: int
     fan_out: int
-    together: bool
+    concurrent: bool
 
 
 class Failure(NamedTuple):
-    """How often calls fail.
+    """Probabilities that a call fails.
 
     Attributes:
         refused: Probability that an endpoint refuses a call.
-        lost: Probability that its answer is lost.
+        lost: Probability that the answer of a call is lost.
     """
 
     refused: float
@@ -47,11 +48,11 @@
 
 
 class Trial(NamedTuple):
-    """What one trial varies.
+    """Parameters of one simulation.
 
     Attributes:
         shape: `Shape` of the trees.
-        policy: Function that decides on grants.
+        policy: Grant policy, a function of a `GrantContext`.
         refuse: Function that draws whether an endpoint refuses a call.
         lose: Function that draws whether an answer is lost.
     """
@@ -63,17 +64,17 @@
 
 
 class Result(NamedTuple):
-    """The end of one attempt.
+    """Result of one attempt.
 
     Attributes:
-        whole: Whether it and all below it were answered.
-        deeper: Whether it failed further down.
-        unused: Retries returned.
-        spent: Retries made below it.
+        complete: Whether the attempt and all its nested calls were answered.
+        failed_deeper: Whether a nested call failed further down the call graph.
+        unused: Retries that the answer returned.
+        spent: Retries of nested calls.
     """
 
-    whole: bool
-    deeper: bool
+    complete: bool
+    failed_deeper: bool
     unused: int
     spent: int
 
@@ -81,15 +82,15 @@
 FAILURES = (Failure(0.02, 0.0), Failure(0.02, 0.005), Failure(0.0, 0.01))
 
 SHAPES = (
-    Shape(depth=16, fan_out=1, together=False),
-    Shape(depth=3, fan_out=3, together=False),
-    Shape(depth=3, fan_out=3, together=True),
-    Shape(depth=2, fan_out=8, together=True),
+    Shape(depth=16, fan_out=1, concurrent=False),
+    Shape(depth=3, fan_out=3, concurrent=False),
+    Shape(depth=3, fan_out=3, concurrent=True),
+    Shape(depth=2, fan_out=8, concurrent=True),
 )
 
 
 def make_policies(shape):
-    """Return the policies of the trial by name."""
+    """Return the simulated grant policies by name."""
     return {
         "half": retries.grant_half,
         "half up": lambda context: (context.remaining + 1) // 2,
@@ -100,79 +101,79 @@
     }
 
 
-def run_attempt(trial, held, depth, name):
-    """Return the `Result` of an attempt at a service of a depth."""
+def run_attempt(trial, granted, depth, name):
+    """Simulate an attempt at a service of the given depth; return its `Result`."""
     if trial.refuse():
-        return Result(False, False, held, 0)
+        return Result(False, False, granted, 0)
     if depth == trial.shape.depth:
         lost = trial.lose()
-        return Result(not lost, False, 0 if lost else held, 0)
+        return Result(not lost, False, 0 if lost else granted, 0)
     ledger = Ledger(trial.policy)
-    ledger.open(name, held, FOREVER)
+    ledger.open(name, granted, EXPIRES)
     children = [f"{name}.{number}" for number in range(trial.shape.fan_out)]
-    run = run_together if trial.shape.together else run_in_turn
-    whole, spent = run(trial, ledger, name, children, depth)
+    run = run_concurrently if trial.shape.concurrent else run_sequentially
+    complete, spent = run(trial, ledger, name, children, depth)
     if trial.lose():
         return Result(False, False, 0, spent)
-    return Result(whole, not whole, ledger.close(name), spent)
+    return Result(complete, not complete, ledger.close(name), spent)
 
 
-def run_in_turn(trial, ledger, name, children, depth):
-    """Make the calls one after the other; the first failure ends them.
+def run_sequentially(trial, ledger, name, children, depth):
+    """Make the calls sequentially until one of them fails.
 
     Returns:
-        Whether all were answered in the end, and the retries made.
+        Whether all calls were answered in the end, and the number of retries.
     """
     spent = 0
     for child in children:
         granted = ledger.grant(name, child)
         result = run_attempt(trial, granted, depth + 1, child)
-        answered, used = finish(trial, ledger, name, child, result, depth)
+        answered, used = retry_until_final(trial, ledger, name, child, result, depth)
         spent += used
         if not answered:
             return False, spent
     return True, spent
 
 
-def run_together(trial, ledger, name, children, depth):
-    """Make all calls at once; refusals come back before other answers.
+def run_concurrently(trial, ledger, name, children, depth):
+    """Make all calls concurrently; refusals arrive before other answers.
 
     Returns:
-        Whether all were answered in the end, and the retries made.
+        Whether all calls were answered in the end, and the number of retries.
     """
     grants = [ledger.grant(name, child) for child in children]
     results = [
         run_attempt(trial, granted, depth + 1, child)
         for child, granted in zip(children, grants, strict=True)
     ]
-    ends = sorted(zip(results, children, strict=True), key=is_slow)
-    whole = True
+    results_by_child = sorted(zip(results, children, strict=True), key=is_not_refusal)
+    complete = True
     spent = 0
-    for result, child in ends:
-        answered, used = finish(trial, ledger, name, child, result, depth)
-        whole = whole and answered
+    for result, child in results_by_child:
+        answered, used = retry_until_final(trial, ledger, name, child, result, depth)
+        complete = complete and answered
         spent += used
-    return whole, spent
+    return complete, spent
 
 
-def is_slow(end):
-    """Return whether a pair of result and child isn't a refusal at the child."""
-    result, _ = end
-    return result.whole or result.deeper
+def is_not_refusal(result_of_child):
+    """Return whether the result in a (result, child) pair isn't the child's refusal."""
+    result, _ = result_of_child
+    return result.complete or result.failed_deeper
 
 
-def finish(trial, ledger, name, child, result, depth):
-    """Take in an answer and retry while it is of use.
+def retry_until_final(trial, ledger, name, child, result, depth):
+    """Apply the result of an attempt and retry it while that may help.
 
     Returns:
-        Whether the call was answered in the end, and the retries made.
+        Whether the call was answered in the end, and the number of retries.
     """
     spent = result.spent
     attempt = child
     while True:
         ledger.return_unused(attempt, result.unused)
-        if result.whole or result.deeper or not ledger.try_spend(name):
-            return result.whole, spent
+        if result.complete or result.failed_deeper or not ledger.try_spend(name):
+            return result.complete, spent
         attempt = f"{attempt}r"
         granted = ledger.grant(name, attempt)
         result = run_attempt(trial, granted, depth + 1, attempt)
@@ -180,7 +181,7 @@
 
 
 def measure(shape, policy, budget, failure, seed=SEED, requests=REQUESTS):
-    """Return the share of whole requests and the most retries one caused."""
+    """Return the share of complete requests and the maximum retries of a request."""
     generator = random.Random(seed)
 
     def refuse():
@@ -190,20 +191,20 @@
         return generator.random() < failure.lost
 
     trial = Trial(shape, policy, refuse, lose)
-    whole = 0
-    most = 0
+    complete = 0
+    max_spent = 0
     for _ in range(requests):
-        # The entry makes one call, so there is nothing to share.
+        # The entry daemon makes one call, so it doesn't have to divide its budget.
         ledger = Ledger(retries.grant_all_but_one)
-        ledger.open("r", budget, FOREVER)
-        answered, spent = run_in_turn(trial, ledger, "r", ["r.0"], -1)
-        whole += answered
-        most = max(most, spent)
-    return whole / requests, most
+        ledger.open("r", budget, EXPIRES)
+        answered, spent = run_sequentially(trial, ledger, "r", ["r.0"], -1)
+        complete += answered
+        max_spent = max(max_spent, spent)
+    return complete / requests, max_spent
 
 
 def main():
-    """Print one line for each shape, probability and budget."""
+    """Print one line for each tree shape, failure probability and budget."""
     for shape in SHAPES:
         policies = make_policies(shape)
         print(shape)
--- a/test/models/retry_model.py
+++ b/test/models/retry_model.py
@@ -1,9 +1,9 @@
-"""Model of the retry budget: an entry, a daemon below it and one below that.
+"""Model of the retry budget: a chain of an entry daemon, a middle and a lowest one.
 
-Messages stay in the network once sent, so each may be delivered late, out of
-order, several times or never. The middle daemon may restart without memory.
-Ledgers are the package's own `Ledger`, kept as tuples between the steps. The
-lowest daemon is not modelled in detail: it uses all or none of what it got.
+A sent message stays in the network, so it may be delivered late, out of order,
+several times or never. The middle daemon may restart without its state. Ledgers are
+the package's own `Ledger`, stored as tuples between the steps. The lowest daemon
+isn't modelled in detail: it uses all or none of the retries granted to it.
 """
 
 import functools
@@ -14,34 +14,36 @@
 from whinwinch.retries import GrantContext, Ledger
 
 ROOT = "r"
-FOREVER = 1.0
+# Expiry time in seconds; the clock of the model stays at 0.
+EXPIRES = 1.0
 
 
 class Options(NamedTuple):
-    """Mechanisms taken out, and bounds.
+    """Disabled mechanisms and the bounds of the model.
 
     Attributes:
         ledger: Class of the ledgers.
-        addressed: Whether a request names the incarnation that it is meant for.
-        budget: Retries of the root request.
-        children: Attempts of the root request's daemon, at most.
-        grandchildren: Attempts below each child, at most.
+        checks_incarnation: Whether a request names the incarnation of the daemon
+            that it is sent to.
+        budget: Retry budget of the root request.
+        children: Maximum number of attempts that the entry daemon makes.
+        grandchildren: Maximum number of attempts for each child.
     """
 
     ledger: type = Ledger
-    addressed: bool = True
+    checks_incarnation: bool = True
     budget: int = 2
     children: int = 2
     grandchildren: int = 2
 
 
 class Call(NamedTuple):
-    """A request on its way.
+    """A request in transit.
 
     Attributes:
-        attempt: The attempt.
-        granted: Retries granted to it.
-        incarnation: Incarnation of the daemon that it is meant for.
+        attempt: Name of the attempt.
+        granted: Retries granted to the attempt.
+        incarnation: Incarnation of the daemon that the request is sent to.
     """
 
     attempt: str
@@ -50,12 +52,12 @@
 
 
 class Reply(NamedTuple):
-    """An answer on its way.
+    """An answer in transit.
 
     Attributes:
-        attempt: The attempt.
-        unused: Retries that it did not use.
-        marker: Tells it from a `Call` with equal fields.
+        attempt: Name of the attempt.
+        unused: Retries that the attempt did not use.
+        marker: Constant that distinguishes it from a `Call` with equal fields.
     """
 
     attempt: str
@@ -63,69 +65,70 @@
     marker: str = "reply"
 
 
-class Book(NamedTuple):
-    """A ledger between two steps.
+class LedgerState(NamedTuple):
+    """Stored state of a ledger between two steps.
 
     Attributes:
-        holdings: Attempt, retries held and whether closed, in order.
-        grants: Child, holder and retries granted, in order.
+        budgets: Tuples of attempt, remaining retries and whether it is closed,
+            sorted.
+        grants: Tuples of child, holder and granted retries, sorted.
     """
 
-    holdings: tuple = ()
+    budgets: tuple = ()
     grants: tuple = ()
 
 
 class State(NamedTuple):
-    """The whole model.
+    """State of the whole model.
 
     Attributes:
-        entry: `Book` of the entry.
-        middle: `Book` of the middle daemon.
+        entry: `LedgerState` of the entry daemon.
+        middle: `LedgerState` of the middle daemon.
         incarnation: Incarnation of the middle daemon.
-        net: Messages ever sent.
-        given: Attempts that reached the middle daemon's backend server.
-        worked: Attempts that the lowest daemon has worked on.
+        network: All messages sent so far.
+        delivered: Attempts that reached the middle daemon's backend server.
+        processed: Attempts that the lowest daemon has processed.
         retries: Retries made for the root request so far.
     """
 
-    entry: Book
-    middle: Book = Book()
+    entry: LedgerState
+    middle: LedgerState = LedgerState()
     incarnation: int = 0
-    net: frozenset = frozenset()
-    given: frozenset = frozenset()
-    worked: frozenset = frozenset()
+    network: frozenset = frozenset()
+    delivered: frozenset = frozenset()
+    processed: frozenset = frozenset()
     retries: int = 0
 
 
-def open_book(kind, book):
-    """Return the ledger that a book stands for."""
+def restore_ledger(kind, ledger_state):
+    """Return the ledger restored from a `LedgerState`."""
     ledger = kind(policy=grant_some)
-    for attempt, held, closed in book.holdings:
-        ledger.open(attempt, held, FOREVER)
+    for attempt, remaining, closed in ledger_state.budgets:
+        ledger.open(attempt, remaining, EXPIRES)
         ledger._budgets[attempt].closed = closed
-    for child, holder, retries in book.grants:
-        grant = ledger._grants
-        grant[child] = make_grant(holder, retries)
+    for child, holder, retries in ledger_state.grants:
+        grants = ledger._grants
+        grants[child] = make_grant(holder, retries)
         ledger._children.setdefault(holder, []).append(child)
     return ledger
 
 
 def grant_some(context: GrantContext):
-    """Grant half rounded up, so that the lowest daemon gets something."""
+    """Grant half, rounded up, so that the lowest daemon receives at least one retry."""
     return (context.remaining + 1) // 2
 
 
 def make_grant(holder, retries):
-    """Return a grant as the ledger keeps it."""
+    """Return a grant in the form in which a ledger stores it."""
     ledger = Ledger(policy=lambda context: retries)
-    ledger.open(holder, retries, FOREVER)
+    ledger.open(holder, retries, EXPIRES)
     ledger.grant(holder, "child")
     return ledger._grants["child"]
 
 
-def close_book(ledger):
-    """Return a ledger as a book."""
-    holdings = tuple(
+def save_ledger(ledger):
+    """Return the `LedgerState` of a ledger."""
+    budgets = tuple(
         (attempt, budget.remaining, budget.closed)
         for attempt, budget in sorted(ledger._budgets.items())
     )
@@ -133,33 +136,33 @@
         (child, grant.holder, grant.retries)
         for child, grant in sorted(ledger._grants.items())
     )
-    return Book(holdings, grants)
+    return LedgerState(budgets, grants)
 
 
 @functools.lru_cache(maxsize=None)
-def operate(kind, book, operation, *arguments):
-    """Call a method of the ledger that a book stands for.
+def call_ledger(kind, ledger_state, operation, *arguments):
+    """Call a method of the ledger restored from a `LedgerState`.
 
     Returns:
-        The book after it, and what the method returned.
+        The `LedgerState` after the call, and the result of the method.
     """
-    ledger = open_book(kind, book)
+    ledger = restore_ledger(kind, ledger_state)
     result = getattr(ledger, operation)(*arguments)
-    return close_book(ledger), result
+    return save_ledger(ledger), result
 
 
 def make_protocol(options, name="retries"):
     """Return the model as a `Protocol`."""
-    entry = open_book(options.ledger, Book())
-    entry.open(ROOT, options.budget, FOREVER)
+    entry = restore_ledger(options.ledger, LedgerState())
+    entry.open(ROOT, options.budget, EXPIRES)
     return Protocol(
         name=name,
         candidate=False,
         fields=State._fields,
-        initial=State(close_book(entry)),
+        initial=State(save_ledger(entry)),
         transitions=lambda state: list(find_steps(state, options)),
         invariants={
-            "the retries of one request stay within its bound": (
+            "the retries of one request stay within its budget": (
                 lambda d: d["retries"] <= options.budget
             )
         },
@@ -167,7 +170,7 @@
 
 
 def find_steps(state, options):
-    """Yield each step as a pair of label and next state."""
+    """Yield each possible step as a pair of its label and the next state."""
     if state.retries > options.budget:
         return
     yield from find_entry_steps(state, options)
@@ -181,125 +184,144 @@
     Attributes:
         requests: Calls to the middle daemon.
         lowest: Calls to the lowest daemon.
-        answers: Replies to the entry.
-        below: Replies to the middle daemon.
+        answers: Replies to the entry daemon.
+        lowest_answers: Replies to the middle daemon.
     """
 
     requests: tuple
     lowest: tuple
     answers: tuple
-    below: tuple
+    lowest_answers: tuple
 
 
 @functools.lru_cache(maxsize=None)
-def sort_traffic(net):
-    """Return the messages of a network as `Traffic`."""
-    calls = sorted(message for message in net if isinstance(message, Call))
-    replies = sorted(message for message in net if isinstance(message, Reply))
+def sort_traffic(network):
+    """Return the messages in the network as `Traffic`."""
+    calls = sorted(message for message in network if isinstance(message, Call))
+    replies = sorted(message for message in network if isinstance(message, Reply))
     return Traffic(
         requests=tuple(each for each in calls if each.attempt.count(".") == 1),
         lowest=tuple(each for each in calls if each.attempt.count(".") == 2),
         answers=tuple(each for each in replies if each.attempt.count(".") == 1),
-        below=tuple(each for each in replies if each.attempt.count(".") == 2),
+        lowest_answers=tuple(each for each in replies if each.attempt.count(".") == 2),
     )
 
 
 @functools.lru_cache(maxsize=None)
-def count_calls(net, holder):
-    """Return how many attempts a holder has made below it."""
+def count_calls(network, holder):
+    """Return the number of attempts that a holder has made as nested calls."""
     return sum(
         isinstance(message, Call) and message.attempt.rpartition(".")[0] == holder
-        for message in net
+        for message in network
     )
 
 
-def find_calls(state, book, holder, limit, options):
-    """Yield a new attempt of a holder, as a first call or as a retry."""
-    number = count_calls(state.net, holder)
+def find_calls(state, ledger_state, holder, limit, options):
+    """Yield a new attempt of a holder, as a first attempt or as a retry.
+
+    Yields:
+        Label, the holder's ledger state afterwards, the request, and the number of
+        retries spent.
+    """
+    number = count_calls(state.network, holder)
     if number == limit:
         return
     child = f"{holder}.{number}"
-    called, granted = operate(options.ledger, book, "grant", holder, child)
-    yield "call", called, Call(child, granted, state.incarnation), 0
-    taken, success = operate(options.ledger, book, "try_spend", holder)
+    granting, granted = call_ledger(
+        options.ledger, ledger_state, "grant", holder, child
+    )
+    yield "call", granting, Call(child, granted, state.incarnation), 0
+    spent, success = call_ledger(options.ledger, ledger_state, "try_spend", holder)
     if number and success:
-        called, granted = operate(options.ledger, taken, "grant", holder, child)
-        yield "retry", called, Call(child, granted, state.incarnation), 1
+        granting, granted = call_ledger(options.ledger, spent, "grant", holder, child)
+        yield "retry", granting, Call(child, granted, state.incarnation), 1
 
 
 def find_entry_steps(state, options):
-    """Yield the steps of the entry."""
-    for label, book, message, more in find_calls(
+    """Yield the steps of the entry daemon."""
+    for label, ledger_state, message, spent_retries in find_calls(
         state, state.entry, ROOT, options.children, options
     ):
         following = state._replace(
-            entry=book, net=state.net | {message}, retries=state.retries + more
+            entry=ledger_state,
+            network=state.network | {message},
+            retries=state.retries + spent_retries,
         )
         yield f"entry: {label}", following
-    for message in sort_traffic(state.net).answers:
-        book, _ = operate(options.ledger, state.entry, "return_unused", *message[:2])
-        yield "entry: answer", state._replace(entry=book)
+    for message in sort_traffic(state.network).answers:
+        ledger_state, _ = call_ledger(
+            options.ledger, state.entry, "return_unused", *message[:2]
+        )
+        yield "entry: answer", state._replace(entry=ledger_state)
 
 
 def find_middle_steps(state, options):
     """Yield the steps of the middle daemon."""
-    traffic = sort_traffic(state.net)
+    traffic = sort_traffic(state.network)
     for message in traffic.requests:
         yield "middle: request", deliver(state, message, options)
-    for message in traffic.below:
-        book, _ = operate(options.ledger, state.middle, "return_unused", *message[:2])
-        yield "middle: answer", state._replace(middle=book)
-    # Its backend server may call on for any request it was ever given, also
-    # after the daemon beside it has restarted or answered.
-    for attempt in sorted(state.given):
+    for message in traffic.lowest_answers:
+        ledger_state, _ = call_ledger(
+            options.ledger, state.middle, "return_unused", *message[:2]
+        )
+        yield "middle: answer", state._replace(middle=ledger_state)
+    # The backend server may make nested calls for any request that it has received,
+    # even after its daemon has restarted or answered the request.
+    for attempt in sorted(state.delivered):
         yield from find_child_steps(state, attempt, options)
     if state.incarnation == 0:
-        yield "middle: restart", state._replace(middle=Book(), incarnation=1)
+        yield "middle: restart", state._replace(middle=LedgerState(), incarnation=1)
 
 
 def find_child_steps(state, attempt, options):
-    """Yield the steps of the middle daemon for one attempt that it holds."""
-    for label, book, message, more in find_calls(
+    """Yield the steps of the middle daemon for one attempt that it has received."""
+    for label, ledger_state, message, spent_retries in find_calls(
         state, state.middle, attempt, options.grandchildren, options
     ):
         following = state._replace(
-            middle=book, net=state.net | {message}, retries=state.retries + more
+            middle=ledger_state,
+            network=state.network | {message},
+            retries=state.retries + spent_retries,
         )
         yield f"middle: {label}", following
-    book, unused = operate(options.ledger, state.middle, "close", attempt)
-    net = state.net | make_replies(attempt, unused)
-    yield "middle: close", state._replace(middle=book, net=net)
+    ledger_state, unused = call_ledger(options.ledger, state.middle, "close", attempt)
+    network = state.network | make_replies(attempt, unused)
+    yield "middle: close", state._replace(middle=ledger_state, network=network)
 
 
 def deliver(state, message, options):
-    """Return the state after a request reached the middle daemon."""
-    meant = not options.addressed or message.incarnation == state.incarnation
-    granted = message.granted if meant else 0
-    book, _ = operate(
-        options.ledger, state.middle, "open", message.attempt, granted, FOREVER
+    """Return the state after a request arrived at the middle daemon."""
+    is_addressee = (
+        not options.checks_incarnation or message.incarnation == state.incarnation
+    )
+    granted = message.granted if is_addressee else 0
+    ledger_state, _ = call_ledger(
+        options.ledger, state.middle, "open", message.attempt, granted, EXPIRES
+    )
+    return state._replace(
+        middle=ledger_state, delivered=state.delivered | {message.attempt}
     )
-    return state._replace(middle=book, given=state.given | {message.attempt})
 
 
 def find_lowest_steps(state):
-    """Yield that the lowest daemon uses all or none of what it was granted."""
-    for message in sort_traffic(state.net).lowest:
-        # One that was granted nothing can neither use nor return anything.
-        if message.attempt in state.worked or not message.granted:
+    """Yield that the lowest daemon uses all or none of the retries granted to it."""
+    for message in sort_traffic(state.network).lowest:
+        # An attempt without granted retries can neither use nor return any.
+        if message.attempt in state.processed or not message.granted:
             continue
-        worked = state.worked | {message.attempt}
+        processed = state.processed | {message.attempt}
         for used in {0, message.granted}:
             replies = make_replies(message.attempt, message.granted - used)
             yield (
                 f"lowest: uses {used}",
                 state._replace(
-                    worked=worked,
-                    net=state.net | replies,
+                    processed=processed,
+                    network=state.network | replies,
                     retries=state.retries + used,
                 ),
             )
 
 
 def make_replies(attempt, unused):
-    """Return the answer as a set; one that returns nothing changes nothing."""
+    """Return the answer in a set, which is empty if the answer returns no retries."""
     return {Reply(attempt, unused)} if unused else set()
--- a/test/models/test_claim_machine.py
+++ b/test/models/test_claim_machine.py
@@ -1,4 +1,4 @@
-"""Random streams of claims, read by some from the first record, by some later."""
+"""Tests that readers of random claims agree, wherever in the log they start."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 WINDOW = 10.0
 MAX_CLOCK_SKEW = 3.0
 
-# Shorter than the window, so that records are gone while they still matter.
+# Shorter than the window, so that records are dropped while their keys are valid.
 RETENTION = 6.0
 
 
@@ -130,7 +130,7 @@
 
 
 class Gapless(Claims):
-    """Takes for granted that what it has not read holds no claim."""
+    """Assumes that records which it has not read contain no claim."""
 
     def _covers(self, made):
         return True
@@ -152,8 +152,9 @@
 )
 
 
-# A counterexample that nobody reads need not be made short. The first one ends the
-# search; where it stands depends on the constants of all modules that are loaded.
+# The test needs any counterexample, not a short one, so there is no shrinking. The
+# number of examples until the first one depends on the constants of all loaded
+# modules.
 MUTANT_SETTINGS = settings(
     SETTINGS, max_examples=2000, phases=[Phase.generate], report_multiple_bugs=False
 )
--- a/test/models/test_configuration_machine.py
+++ b/test/models/test_configuration_machine.py
@@ -1,4 +1,4 @@
-"""Random histories of configuration against a plain dictionary."""
+"""Tests that random configuration histories match a plain dictionary."""
 
 import unittest
 
--- a/test/models/test_configuration_model.py
+++ b/test/models/test_configuration_model.py
@@ -1,4 +1,4 @@
-"""Exhaustive checks of configuration, and of what each mechanism is for."""
+"""Exhaustive checks of the configuration model, also with mechanisms disabled."""
 
 import unittest
 
@@ -8,46 +8,47 @@
 from test.models.configuration_model import Options
 from whinwinch.configuration import Configuration
 
-REVERTS = "an accepted configuration never reverts"
-AGREE = "all who have read as far agree"
-ONCE = "a change is accepted once"
-ORDER = "of two changes of one version one is accepted"
+NEVER_REVERTS = "an accepted configuration never reverts"
+READERS_AGREE = "readers at the same offset agree"
+ACCEPTED_ONCE = "a change is accepted at most once"
+NO_CONFLICT = "only one change to each version is accepted"
 
-MOST_STATES = 100_000
+MAX_STATES = 100_000
 
-# A counterexample is short; the search for one need not go through all states.
+# Counterexamples are short, so the search for one stops before it has visited all
+# states.
 MUTANT_STATES = 12_000
 
 
-class Backward(Configuration):
-    """Takes in any snapshot, also one that covers less than was read."""
+class InstallsAnySnapshot(Configuration):
+    """Installs any snapshot, even one that is older than its own state."""
 
     def install(self, data):
         self.offset = 0
         return super().install(data)
 
 
-class Forgetful(Configuration):
-    """Remembers no change identifiers."""
+class RecordsNoIdentifiers(Configuration):
+    """Doesn't record the identifiers of earlier changes."""
 
     def _record_decision(self, change, accepted, version):
         pass
 
 
-class Blind(Configuration):
-    """Accepts each change, whatever version it replaces."""
+class IgnoresVersions(Configuration):
+    """Accepts each change without comparing the version that it replaces."""
 
     def _apply_change(self, change, version):
         present = self.get(change.kind, change.name)
-        found = present.version if present else 0
-        applied = super()._apply_change(change._replace(replaces=found), version)
+        version_now = present.version if present else 0
+        applied = super()._apply_change(change._replace(replaces=version_now), version)
         return applied._replace(change=change)
 
 
 class ConfigurationModelTest(unittest.TestCase):
     def assert_holds(self, options):
         protocol = configuration_model.make_protocol(options)
-        report = check_safety(protocol, MOST_STATES)
+        report = check_safety(protocol, MAX_STATES)
         self.assertTrue(report["exhaustive"])
         for name, found in report["properties"].items():
             with self.subTest(name=name):
@@ -65,25 +66,28 @@
     def test_two_snapshots_written_out_of_order(self):
         self.assert_holds(Options(copies=1, snapshots=2, plans=(("set",), ("set",))))
 
-    def test_doubled_appends(self):
+    def test_duplicate_appends(self):
         self.assert_holds(Options(plans=(("set", "delete"), ())))
 
-    def test_taking_in_an_older_snapshot_reverts(self):
-        self.assert_broken(REVERTS, Options(reader=Backward, copies=1))
+    def test_installing_an_older_snapshot_reverts(self):
+        self.assert_broken(NEVER_REVERTS, Options(reader=InstallsAnySnapshot, copies=1))
 
-    def test_going_on_after_a_gap_divides_the_readers(self):
-        self.assert_broken(AGREE, Options(skipping=True, copies=1))
+    def test_continuing_after_a_gap_makes_readers_disagree(self):
+        self.assert_broken(READERS_AGREE, Options(skipping=True, copies=1))
 
-    def test_a_forgotten_change_is_accepted_twice(self):
+    def test_without_change_identifiers_a_change_is_accepted_twice(self):
         plans = (("set", "delete"), ())
-        self.assert_broken(ONCE, Options(reader=Forgetful, plans=plans, snapshots=0))
+        self.assert_broken(
+            ACCEPTED_ONCE,
+            Options(reader=RecordsNoIdentifiers, plans=plans, snapshots=0),
+        )
 
-    def test_accepting_whatever_is_replaced_loses_a_change(self):
-        self.assert_broken(ORDER, Options(reader=Blind, copies=1))
+    def test_without_a_version_check_a_change_is_lost(self):
+        self.assert_broken(NO_CONFLICT, Options(reader=IgnoresVersions, copies=1))
 
-    def test_everyone_catches_up_while_peers_hand_on(self):
-        """The log has dropped what a restarted daemon needs."""
-        options = Options(careful=True, peers=True, copies=1, snapshots=0)
+    def test_daemons_catch_up_while_peers_send_their_state(self):
+        """A daemon restarts after the log has dropped records that it needs."""
+        options = Options(keeps_unread=True, peers=True, copies=1, snapshots=0)
         self.assertIs(self.check_progress(options)["holds"], True)
         alone = options._replace(peers=False)
         self.assertIs(self.check_progress(alone)["holds"], False)
--- a/test/models/test_drain_model.py
+++ b/test/models/test_drain_model.py
@@ -1,4 +1,4 @@
-"""Exhaustive checks of drain and stop, and of what each mechanism is for."""
+"""Exhaustive checks of the drain model, also with single mechanisms disabled."""
 
 import unittest
 
@@ -9,13 +9,14 @@
 from whinwinch import lifecycle
 from whinwinch.lifecycle import Direction, Phase
 
-UNCUT = "a planned stop cuts off no request in flight"
+NONE_CUT_OFF = "a planned stop cuts off no request in flight"
 NO_NEW_WORK = "a leaving backend server receives no new work"
-KNOWN = "work sent before the leave was heard of is known not to have run"
+DEFINITE_OUTCOME = "a request to a leaving daemon gets a definite outcome"
 
-MOST_STATES = 100_000
+MAX_STATES = 100_000
 
-# A counterexample is short; the search for one need not go through all states.
+# Counterexamples are short, so the search for one stops before it has visited all
+# states.
 MUTANT_STATES = 12_000
 
 
@@ -53,9 +54,9 @@
         self.assertIs(found["holds"], False)
         self.assertGreater(len(found["counterexample"]), 1)
 
-    def test_requests_meet_a_leaving_daemon(self):
+    def test_requests_arrive_at_a_leaving_daemon(self):
         report = check_safety(
-            drain_model.make_protocol(Options(requests=3)), MOST_STATES
+            drain_model.make_protocol(Options(requests=3)), MAX_STATES
         )
         self.assertTrue(report["exhaustive"])
         for name, found in report["properties"].items():
@@ -63,12 +64,12 @@
                 self.assertIs(found["holds"], True, found["counterexample"])
 
     def test_stopping_at_once_cuts_off_requests(self):
-        self.assert_broken(UNCUT, Options(advance=stop_at_once))
+        self.assert_broken(NONE_CUT_OFF, Options(advance=stop_at_once))
 
-    def test_refusing_the_calls_of_open_requests_cuts_them_off(self):
-        self.assert_broken(UNCUT, Options(admits=admit_nothing_when_leaving))
+    def test_refusing_calls_of_requests_in_flight_cuts_them_off(self):
+        self.assert_broken(NONE_CUT_OFF, Options(admits=admit_nothing_when_leaving))
 
-    def test_admitting_while_leaving_brings_new_work(self):
+    def test_admitting_while_leaving_accepts_new_work(self):
         self.assert_broken(NO_NEW_WORK, Options(admits=admit_always))
 
     def test_a_draining_backend_server_counts_as_leaving(self):
@@ -76,7 +77,7 @@
         self.assert_broken(NO_NEW_WORK, Options(admits=admits))
 
     def test_without_a_quiet_time_outcomes_are_unknown(self):
-        self.assert_broken(KNOWN, Options(advance=stop_without_a_quiet_time))
+        self.assert_broken(DEFINITE_OUTCOME, Options(advance=stop_without_a_quiet_time))
 
     def test_every_stop_ends(self):
         self.assertIs(self.check_progress(Options())["holds"], True)
@@ -84,7 +85,7 @@
         self.assertIs(self.check_progress(stuck)["holds"], False)
 
     def check_progress(self, options):
-        goal = drain_model.is_over
+        goal = drain_model.has_ended
         return check_liveness(drain_model.make_protocol(options, goal=goal))
 
 
--- a/test/models/test_gate_model.py
+++ b/test/models/test_gate_model.py
@@ -1,4 +1,4 @@
-"""Exhaustive checks of who is served and who is dropped at a full backend server."""
+"""Exhaustive checks of which requests a full backend server serves and drops."""
 
 import unittest
 import unittest.mock
@@ -8,14 +8,14 @@
 from test.models import gate_model
 from whinwinch import waiting
 
-SERVED = "a free slot goes to the most important that waits"
-DROPPED = "nobody is dropped for room while a lesser one waits"
+SERVED = "a free slot goes to the most important waiting request"
+DROPPED = "no request is dropped while a less important one waits"
 EVENTS = 5
-MOST_STATES = 20_000
+MAX_STATES = 20_000
 
 
-class ByArrival(waiting.Queue):
-    """Serves whoever came first, whatever its importance."""
+class ServesByArrival(waiting.Queue):
+    """Serves requests in order of arrival, whatever their importance."""
 
     def pop_next(self):
         for attempt in self._places:
@@ -24,7 +24,7 @@
 
 
 class DropsTheMostImportant(waiting.Queue):
-    """Makes room by dropping the most important."""
+    """Drops the most important request of a full queue."""
 
     def find_lowest(self, measure):
         del measure
@@ -40,7 +40,7 @@
 
 class GateModelTest(unittest.TestCase):
     def check(self, events=EVENTS):
-        return check_safety(gate_model.make_protocol(events), MOST_STATES)
+        return check_safety(gate_model.make_protocol(events), MAX_STATES)
 
     def test_importance_decides(self):
         report = self.check()
@@ -54,12 +54,12 @@
             found = self.check()["properties"][name]
         self.assertIs(found["holds"], False)
 
-    def test_by_arrival_lesser_work_goes_first(self):
-        """Payouts queue up behind browsing, under overload."""
-        self.assert_broken_by(ByArrival, SERVED)
+    def test_serving_by_arrival_serves_less_important_requests_first(self):
+        """Under overload, payouts wait behind less important reads."""
+        self.assert_broken_by(ServesByArrival, SERVED)
 
-    def test_dropping_from_the_wrong_end(self):
-        """A full queue sheds a payout, and lets browsing wait on."""
+    def test_dropping_the_most_important_request(self):
+        """A full queue drops a payout while less important reads keep waiting."""
         self.assert_broken_by(DropsTheMostImportant, DROPPED)
 
 
--- a/test/models/test_ledger_machine.py
+++ b/test/models/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""Random trees of calls, sixteen deep, against the bound of their root."""
+"""Tests that random call trees up to sixteen levels deep keep their retry budget."""
 
 import unittest
 
@@ -19,15 +19,16 @@
 
 
 class Node:
-    """An attempt at the daemon that works on it.
+    """An attempt at the daemon that processes it.
 
     Attributes:
-        name: The attempt.
-        parent: Node above, or None.
+        name: Name of the attempt.
+        parent: Node of the attempt that made this call, or None for the root.
         ledger: The daemon's ledger.
-        calls: How many attempts it has made below.
-        reply: Retries returned by its answer, or None before it.
-        restarted: Whether its daemon is no longer the one it was sent to.
+        granted: Retries granted to the attempt.
+        calls: Number of nested attempts that it has made.
+        reply: Retries that its answer returns, or None before it is answered.
+        restarted: Whether the daemon has restarted since the attempt was sent.
     """
 
     def __init__(self, name, parent, granted):
--- a/test/models/test_retry_model.py
+++ b/test/models/test_retry_model.py
@@ -1,4 +1,4 @@
-"""Exhaustive checks of the retry budget, and of what each mechanism is for."""
+"""Exhaustive checks of the retry model, also with single mechanisms disabled."""
 
 import unittest
 
@@ -8,15 +8,16 @@
 from test.models.retry_model import Options
 from whinwinch.retries import Ledger
 
-BOUND = "the retries of one request stay within its bound"
-MOST_STATES = 150_000
+WITHIN_BUDGET = "the retries of one request stay within its budget"
+MAX_STATES = 150_000
 
-# A counterexample is short; the search for one need not go through all states.
+# Counterexamples are short, so the search for one stops before it has visited all
+# states.
 MUTANT_STATES = 12_000
 
 
-class Trusting(Ledger):
-    """Takes each answer at its word, doubled ones too."""
+class AppliesDuplicates(Ledger):
+    """Applies each answer, even a duplicate."""
 
     def return_unused(self, child, unused):
         grant = self._grants.get(child)
@@ -24,23 +25,23 @@
             self._budgets[grant.holder].remaining += unused
 
 
-class Reopening(Ledger):
-    """Opens an attempt again when its message comes again."""
+class ReopensAttempts(Ledger):
+    """Opens an attempt again when a duplicate of its request arrives."""
 
     def open(self, attempt, granted, expires):
         self._budgets.pop(attempt, None)
         return super().open(attempt, granted, expires)
 
 
-class Generous(Ledger):
-    """Lets an attempt that it does not know make a retry."""
+class AllowsUnrecorded(Ledger):
+    """Lets an attempt that it has not recorded make retries."""
 
     def try_spend(self, attempt):
         return super().try_spend(attempt) or attempt not in self._budgets
 
 
-class Copying(Ledger):
-    """Grants without taking from the holder."""
+class GrantsCopies(Ledger):
+    """Grants retries without deducting them from the holder."""
 
     def grant(self, attempt, child):
         granted = super().grant(attempt, child)
@@ -49,55 +50,55 @@
         return granted
 
 
-class Hopeful(Ledger):
-    """Returns upward also what its children have not given back."""
+class ReturnsOutstanding(Ledger):
+    """Returns retries to its caller that its children haven't returned yet."""
 
     def close(self, attempt):
-        lent = [
+        outstanding = [
             self._grants[child]
             for child in self._children.get(attempt, ())
             if child in self._grants
         ]
-        return super().close(attempt) + sum(grant.retries for grant in lent)
+        return super().close(attempt) + sum(grant.retries for grant in outstanding)
 
 
 class RetryModelTest(unittest.TestCase):
     def assert_holds(self, options):
-        report = check_safety(retry_model.make_protocol(options), MOST_STATES)
+        report = check_safety(retry_model.make_protocol(options), MAX_STATES)
         self.assertTrue(report["exhaustive"])
-        found = report["properties"][BOUND]
+        found = report["properties"][WITHIN_BUDGET]
         self.assertIs(found["holds"], True, found["counterexample"])
 
     def assert_broken(self, options):
         report = check_safety(retry_model.make_protocol(options), MUTANT_STATES)
-        self.assertIs(report["properties"][BOUND]["holds"], False)
+        self.assertIs(report["properties"][WITHIN_BUDGET]["holds"], False)
 
-    def test_lost_late_and_doubled_messages_and_a_restart(self):
+    def test_lost_late_and_duplicate_messages_and_a_restart(self):
         self.assert_holds(Options())
         self.assert_holds(Options(budget=3, children=1, grandchildren=3))
 
-    def test_a_doubled_answer_taken_at_its_word_breaks_the_bound(self):
-        self.assert_broken(Options(ledger=Trusting))
+    def test_applying_a_duplicate_answer_exceeds_the_budget(self):
+        self.assert_broken(Options(ledger=AppliesDuplicates))
 
-    def test_a_doubled_request_opened_again_breaks_the_bound(self):
-        self.assert_broken(Options(ledger=Reopening))
+    def test_opening_a_duplicate_request_again_exceeds_the_budget(self):
+        self.assert_broken(Options(ledger=ReopensAttempts))
 
-    def test_a_grant_that_is_a_copy_breaks_the_bound(self):
-        self.assert_broken(Options(ledger=Copying))
+    def test_granting_without_deducting_exceeds_the_budget(self):
+        self.assert_broken(Options(ledger=GrantsCopies))
 
-    def test_retries_of_forgotten_attempts_break_the_bound(self):
-        self.assert_broken(Options(ledger=Generous))
+    def test_retries_of_unrecorded_attempts_exceed_the_budget(self):
+        self.assert_broken(Options(ledger=AllowsUnrecorded))
 
-    def test_returning_what_children_hold_breaks_the_bound(self):
-        self.assert_broken(Options(ledger=Hopeful))
+    def test_returning_outstanding_grants_exceeds_the_budget(self):
+        self.assert_broken(Options(ledger=ReturnsOutstanding))
 
-    def test_a_doubled_request_after_a_restart_breaks_the_bound(self):
-        """A daemon restarts and gets a second copy of a request.
+    def test_a_duplicate_request_after_a_restart_exceeds_the_budget(self):
+        """A restarted daemon receives a duplicate of an earlier request.
 
-        It cannot know that its predecessor has used the budget, unless the
-        request names the incarnation that it was meant for.
+        It can't know that the budget was used before its restart, unless the request
+        names the incarnation of the daemon that it was sent to.
         """
-        self.assert_broken(Options(addressed=False))
+        self.assert_broken(Options(checks_incarnation=False))
 
 
 if __name__ == "__main__":
