--- a/bench/wire.py
+++ b/bench/wire.py
@@ -86,17 +86,17 @@
 
 
 async def _count_bytes(peer, counter, payload):
-    await peer.ask(payload)
+    await peer.send_gossip(payload)
     first = counter.bytes
     for _ in range(EXCHANGES):
-        await peer.ask(payload)
+        await peer.send_gossip(payload)
     return first, (counter.bytes - first) / EXCHANGES
 
 
 async def _time_exchanges(peer, payload):
     for _ in range(EXCHANGES):
-        await peer.ask(payload)
+        await peer.send_gossip(payload)
     start = time.process_time()
     for _ in range(EXCHANGES):
-        await peer.ask(payload)
+        await peer.send_gossip(payload)
     return (time.process_time() - start) / EXCHANGES * 1e6
--- a/test/daemons/test_links.py
+++ b/test/daemons/test_links.py
@@ -92,7 +92,7 @@
         hello = frames.Hello("caller-1", "127.0.0.1:1")
         self.peers = links.Peers(hello, lambda *news: self.reports.append(news))
         self.peer = self.peers.find(f"127.0.0.1:{self.port}")
-        self.keeping = asyncio.create_task(self.peers.keep())
+        self.keeping = asyncio.create_task(self.peers.check_periodically())
         self.addAsyncCleanup(self.end)
 
     async def start_called(self, daemon, port):
@@ -102,11 +102,11 @@
             self.refuse,
             self.answer_gossip,
             self.admits,
-            take_relayed=lambda *report: self.levels.append(report),
+            handle_relayed=lambda *report: self.levels.append(report),
         )
         self.called.news = frames.News(Endpoint("x", "x", "s"))
         self.port = await self.called.listen("127.0.0.1", port)
-        self.forgetting = asyncio.create_task(self.called.keep())
+        self.forgetting = asyncio.create_task(self.called.clean_up_periodically())
 
     async def end(self):
         self.keeping.cancel()
@@ -292,7 +292,7 @@
         answer = await self.peer.call(build_request(1))
         self.assertIsNot(answer.outcome, Outcome.COMPLETED)
         with self.assertRaises(ConnectionError):
-            await self.peer.ask(b"who is there?")
+            await self.peer.send_gossip(b"who is there?")
         self.assertEqual(self.ran, [])
         # The caller must back off, since each attempt costs both sides a connection.
         self.assertLess(self.token_checks, 2 * links.MAX_SHORT_CONNECTIONS)
@@ -317,10 +317,12 @@
             await self.wait_until(lambda: self.peer.is_up)
             self.abort_sessions()
             await self.wait_until(lambda: not self.peer.is_up)
-            self.assertNotEqual(self.peer.reach, Reachability.BACKING_OFF)
+            self.assertNotEqual(self.peer.reachability, Reachability.BACKING_OFF)
 
     async def test_gossip_is_answered(self):
-        answers = await asyncio.gather(self.peer.ask(b"abc"), self.peer.ask(b"12"))
+        answers = await asyncio.gather(
+            self.peer.send_gossip(b"abc"), self.peer.send_gossip(b"12")
+        )
         self.assertEqual(answers, [b"cba", b"21"])
 
     async def test_pending_gossip_fails_when_its_connection_is_lost(self):
@@ -329,7 +331,7 @@
         If its sender waited for ever, the daemon would stop probing.
         """
         self.hold.clear()
-        pending = asyncio.create_task(self.peer.ask(b"abc"))
+        pending = asyncio.create_task(self.peer.send_gossip(b"abc"))
         await self.wait_until(lambda: self.called.sessions and self.peer.is_up)
         await asyncio.sleep(0.02)
         self.abort_sessions()
@@ -340,8 +342,8 @@
         """A daemon of another release sends a message that this one can't decode."""
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.1):
-                await self.peer.ask(b"no gossip")
-        self.assertEqual(await self.peer.ask(b"abc"), b"cba")
+                await self.peer.send_gossip(b"no gossip")
+        self.assertEqual(await self.peer.send_gossip(b"abc"), b"cba")
 
     async def test_unused_connections_are_closed(self):
         """Gossip changes its partners for weeks, and instances are replaced.
@@ -350,7 +352,7 @@
         """
         await self.peer.call(build_request(1))
         now = asyncio.get_running_loop().time()
-        self.peers.drop_unused(now + links.UNUSED_SECONDS)
+        self.peers.drop_unused(now + links.UNUSED_TIMEOUT)
         self.assertEqual(len(self.peers), 0)
         await self.wait_until(lambda: not self.called.sessions)
 
@@ -366,13 +368,13 @@
 
     async def test_news_and_levels(self):
         await self.peer.call(build_request(1))
-        self.called.tell(frames.News(Endpoint("x", "x", "s", leaving=True)))
-        cuts = (reportedlevels.RouteShedding("c", (1000, 500, 0, 0)),)
-        self.called.tell_all(frames.LevelSum(True, cuts))
+        self.called.publish_news(frames.News(Endpoint("x", "x", "s", leaving=True)))
+        shed_shares = (reportedlevels.RouteShedding("c", (1000, 500, 0, 0)),)
+        self.called.broadcast(frames.LevelSum(True, shed_shares))
         await self.wait_until(lambda: len(self.reports) == 3)
         leaving = [news.endpoint.leaving for _, news in self.reports[:2]]
         self.assertEqual(leaving, [False, True])
-        self.assertEqual(self.reports[2][1], frames.LevelSum(True, cuts))
+        self.assertEqual(self.reports[2][1], frames.LevelSum(True, shed_shares))
 
     async def test_levels_reported_by_a_caller(self):
         """A daemon reports its levels to its relay over its own connection.
@@ -381,7 +383,7 @@
         """
         levels = frames.Levels((("c", 1.5),))
         await self.peer.call(build_request(1))
-        self.peer.tell(levels)
+        self.peer.send_if_connected(levels)
         await self.wait_until(lambda: self.levels)
         self.assertEqual(self.levels, [("127.0.0.1:1", levels)])
 
@@ -389,8 +391,8 @@
         await self.peer.call(build_request(1))
         count = len(self.reports)
         total = frames.LevelSum(True, ())
-        self.called.tell_all(total, lambda address: address != "127.0.0.1:1")
-        self.called.tell_all(frames.LevelSum(False, ()))
+        self.called.broadcast(total, lambda address: address != "127.0.0.1:1")
+        self.called.broadcast(frames.LevelSum(False, ()))
         await self.wait_until(lambda: len(self.reports) > count)
         self.assertEqual(self.reports[count][1], frames.LevelSum(False, ()))
 
--- a/test/emulator/test_size.py
+++ b/test/emulator/test_size.py
@@ -32,7 +32,7 @@
         async with mesh.Mesh(services, press.CONFIGURATION, zones) as built:
             await built.wait_until(lambda: len(find_readers(built)) == 2)
             # Links of the start, when nobody knew who reads, are not used again.
-            with unittest.mock.patch.object(links, "UNUSED_SECONDS", 0.5):
+            with unittest.mock.patch.object(links, "UNUSED_TIMEOUT", 0.5):
                 await asyncio.sleep(1.0)
             entries = [member.callers for member in built.members]
             for _ in range(2):
@@ -51,7 +51,7 @@
             more = 4 + SOURCES
             readers = find_readers(built)
             for member in built.members:
-                connected = member.node.instance.peers.count_up()
+                connected = member.node.instance.peers.count_connected()
                 if member not in readers:
                     self.assertLessEqual(connected, SUBSET_SIZE + more)
 
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -23,7 +23,7 @@
     """A peer whose daemon returns scripted answers."""
 
     is_up = True
-    reach = subsets.Reachability.UP
+    reachability = subsets.Reachability.UP
 
     def __init__(self, answers):
         self.answers = answers
--- a/test/test_loadlog.py
+++ b/test/test_loadlog.py
@@ -43,11 +43,11 @@
         self.assertEqual((second.busy, second.ended, second.refused), (4.0, 50, ()))
 
     def test_bytes_to_other_zones_are_reported_by_kind_of_message(self):
-        self.traffic.note(frames.Levels, "far:1", 50)
-        self.traffic.note(frames.Levels, "near:1", 50)
+        self.traffic.record_sent(frames.Levels, "far:1", 50)
+        self.traffic.record_sent(frames.Levels, "near:1", 50)
         self.meter.read(11.0)
-        self.traffic.note(frames.Levels, "far:1", 60)
-        self.traffic.note(frames.Levels, "far:1", 60)
+        self.traffic.record_sent(frames.Levels, "far:1", 60)
+        self.traffic.record_sent(frames.Levels, "far:1", 60)
         sent = (traffic.Sent("levels", traffic.OTHER_ZONE, 2, 120),)
         self.assertEqual(self.meter.read(12.0).sent, sent)
         self.assertEqual(self.meter.read(13.0).sent, ())
--- a/whinwinch/daemons/exchange.py
+++ b/whinwinch/daemons/exchange.py
@@ -15,7 +15,7 @@
 from .. import background
 from . import frames, traffic
 
-# Callers fail their open calls 0.8 s after losing a connection, and may take a few
+# Callers fail their pending calls 0.8 s after losing a connection, and may take a few
 # seconds to detect a silent one.
 REPLY_RETENTION_SECONDS = 4.0
 # Bound on the replies retained for sending again. 6 kB replies at 100 per second
@@ -104,7 +104,7 @@
             kind: Type of the message, one of `frames.KINDS`.
             data: Its bytes.
         """
-        self._exchange.traffic.note(kind, self.address, len(data))
+        self._exchange.traffic.record_sent(kind, self.address, len(data))
         self.transport.write(data)
 
     def _receive(self, frame):
@@ -113,7 +113,7 @@
             self.address = frame.address
             self._caller = self._exchange.get_or_create_caller(frame.daemon)
             self._caller.session = self
-            self._exchange.greet(self.send, frame)
+            self._exchange.handle_hello(self.send, frame)
         elif isinstance(frame, frames.Ping):
             self.send(frames.Pong(frame.number))
         elif self._caller is None:
@@ -125,9 +125,9 @@
         elif isinstance(frame, frames.Gossip):
             self._exchange.handle_gossip(self, frame)
         elif isinstance(frame, frames.TOPIC_KINDS):
-            self._exchange.take_topic(self.send, frame)
+            self._exchange.handle_topic(self.send, frame)
         elif isinstance(frame, RELAYED_KINDS):
-            self._exchange.take_relayed(self.address, frame)
+            self._exchange.handle_relayed(self.address, frame)
 
 
 class Exchange:
@@ -141,13 +141,13 @@
         answer_gossip: Coroutine function from the bytes of a gossip message to the
             bytes of its answer, None if this daemon doesn't gossip.
         admits: Function from a daemon's token to whether its connection is accepted.
-        take_topic: Function called with a function that sends a frame back, and a
+        handle_topic: Function called with a function that sends a frame back, and a
             received frame of `frames.TOPIC_KINDS`.
-        greet: Function called with a function that sends a frame back, and the
+        handle_hello: Function called with a function that sends a frame back, and the
             `frames.Hello` of a daemon that has connected.
-        take_relayed: Function called with the address of a daemon and a received
+        handle_relayed: Function called with the address of a daemon and a received
             frame of `RELAYED_KINDS`.
-        counted: `traffic.Traffic` that counts the messages sent.
+        sent_traffic: `traffic.Traffic` that counts the messages sent.
     """
 
     def __init__(
@@ -157,20 +157,20 @@
         refuse,
         answer_gossip=None,
         admits=lambda token: True,
-        take_topic=lambda reply, frame: None,
-        greet=lambda reply, hello: None,
-        take_relayed=lambda address, frame: None,
-        counted=None,
+        handle_topic=lambda reply, frame: None,
+        handle_hello=lambda reply, hello: None,
+        handle_relayed=lambda address, frame: None,
+        sent_traffic=None,
     ):
         self._loop = asyncio.get_running_loop()
-        self.traffic = counted or traffic.Traffic()
+        self.traffic = sent_traffic or traffic.Traffic()
         self._serve = serve
         self._refuse = refuse
         self._answer_gossip = answer_gossip
         self._admits = admits
-        self.take_topic = take_topic
-        self.greet = greet
-        self.take_relayed = take_relayed
+        self.handle_topic = handle_topic
+        self.handle_hello = handle_hello
+        self.handle_relayed = handle_relayed
         self._background = background.Background()
         self._callers = {}
         self._listener = None
@@ -187,12 +187,12 @@
         )
         return self._listener.sockets[0].getsockname()[1]
 
-    def tell(self, news):
+    def publish_news(self, news):
         """Send the state of the backend server to all daemons, now and on connect."""
         self.news = news
-        self.tell_all(news)
+        self.broadcast(news)
 
-    def tell_all(self, frame, is_recipient=lambda address: True):
+    def broadcast(self, frame, is_recipient=lambda address: True):
         """Send a message to all connected daemons, or to those selected by address."""
         data = frames.encode_frame(frame)
         for session in self.sessions:
@@ -256,7 +256,7 @@
             raise frames.FrameError("this daemon does not support gossip")
         self._background.start(self._reply_to_gossip(session, message))
 
-    async def keep(self):
+    async def clean_up_periodically(self):
         """Drop expired replies and callers that are gone, until cancelled."""
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL_SECONDS)
--- a/whinwinch/daemons/frames.py
+++ b/whinwinch/daemons/frames.py
@@ -99,17 +99,17 @@
     Attributes:
         is_total: True if the sum covers all daemons that the relay has reports of;
             False if it covers only those that report to this relay directly.
-        cuts: `reportedlevels.RouteShedding` tuples.
+        shed_shares: `reportedlevels.RouteShedding` tuples.
     """
 
     is_total: bool
-    cuts: tuple[reportedlevels.RouteShedding, ...]
+    shed_shares: tuple[reportedlevels.RouteShedding, ...]
 
 
 class Graph(NamedTuple):
     """The call topology that the sender has observed or received."""
 
-    facts: callgraph.Topology
+    topology: callgraph.Topology
 
 
 class Gossip(NamedTuple):
@@ -276,9 +276,10 @@
         ((entries, calls),) = fields
         return Graph(_decode_topology(entries, calls))
     if kind is LevelSum:
-        is_total, cuts = fields
+        is_total, shed_shares = fields
         return LevelSum(
-            bool(is_total), tuple(_decode_route_shedding(*cut) for cut in cuts)
+            bool(is_total),
+            tuple(_decode_route_shedding(*route) for route in shed_shares),
         )
     if kind in (TopicEnd, TopicAsk):
         topic, offset = fields
--- a/whinwinch/daemons/links.py
+++ b/whinwinch/daemons/links.py
@@ -38,7 +38,7 @@
 # Seconds without use after which a connection is closed. Gossip partners are contacted
 # every second and change every ten seconds, and an idle link costs pings. For an
 # endpoint that gets no call for this long a new connection is acceptable.
-UNUSED_SECONDS = 30.0
+UNUSED_TIMEOUT = 30.0
 # Bounds of the backoff, in seconds, after a failed connection attempt.
 INITIAL_BACKOFF = 0.05
 MAX_BACKOFF = 1.0
@@ -105,7 +105,7 @@
     def send(self, frame):
         """Encode and send a message."""
         data = frames.encode_frame(frame, self._loop.time())
-        self._peer.traffic.note(type(frame), self._peer.address, len(data))
+        self._peer.traffic.record_sent(type(frame), self._peer.address, len(data))
         self.transport.write(data)
 
 
@@ -117,12 +117,12 @@
         hello: `frames.Hello` of this daemon.
         handle_report: Function called with the address and each received message of
             `REPORT_KINDS`.
-        counted: `traffic.Traffic` that counts the messages sent.
+        sent_traffic: `traffic.Traffic` that counts the messages sent.
     """
 
-    def __init__(self, address, hello, handle_report, counted):
+    def __init__(self, address, hello, handle_report, sent_traffic):
         self._loop = asyncio.get_running_loop()
-        self.traffic = counted
+        self.traffic = sent_traffic
         self._handle_report = handle_report
         self._numbers = itertools.count(1)
         self._pending = {}
@@ -144,7 +144,7 @@
         return self._link is not None
 
     @property
-    def reach(self):
+    def reachability(self):
         """The `Reachability` of the other daemon."""
         if self.is_up:
             return Reachability.UP
@@ -178,7 +178,7 @@
             timer.cancel()
             self._pending.pop(number, None)
 
-    async def ask(self, data):
+    async def send_gossip(self, data):
         """Send a gossip message and return the bytes of its answer.
 
         It isn't sent again after a reconnect, since its content is outdated by then.
@@ -198,7 +198,7 @@
         finally:
             self._pending_gossip.pop(number, None)
 
-    def tell(self, frame):
+    def send_if_connected(self, frame):
         """Send a message if connected; otherwise drop it."""
         if self._link is not None and self._link.transport is not None:
             self._link.send(frame)
@@ -216,7 +216,7 @@
         if self._loop.time() >= self._next_connect_time:
             self._connecting = self._loop.create_task(self._connect())
 
-    def keep(self):
+    def keep_connected(self):
         """Keep the connection open although no call uses it."""
         self._last_used = self._loop.time()
         self.connect()
@@ -402,19 +402,19 @@
         hello: `frames.Hello` of this daemon.
         handle_report: Function called with the address of a daemon and each received
             message of `REPORT_KINDS`.
-        counted: `traffic.Traffic` that counts the messages sent.
+        sent_traffic: `traffic.Traffic` that counts the messages sent.
     """
 
-    def __init__(self, hello, handle_report, counted=None):
+    def __init__(self, hello, handle_report, sent_traffic=None):
         self._hello = hello
-        self._traffic = counted or traffic.Traffic()
+        self._traffic = sent_traffic or traffic.Traffic()
         self._handle_report = handle_report
         self._peers = {}
 
     def __len__(self):
         return len(self._peers)
 
-    def count_up(self):
+    def count_connected(self):
         """Return the number of daemons that this one is connected to."""
         return sum(peer.is_up for peer in self._peers.values())
 
@@ -446,13 +446,13 @@
         unused = [
             address
             for address, peer in self._peers.items()
-            if peer.is_unused(now - UNUSED_SECONDS)
+            if peer.is_unused(now - UNUSED_TIMEOUT)
         ]
         for address in unused:
             self._peers.pop(address).close()
         return unused
 
-    async def keep(self):
+    async def check_periodically(self):
         """Check all links periodically, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
--- a/whinwinch/daemons/topics.py
+++ b/whinwinch/daemons/topics.py
@@ -24,12 +24,12 @@
         """Add a topic with its `keyed.Following`."""
         self._followings[topic] = following
 
-    def note_read(self, topic, end, now):
+    def record_read(self, topic, end, now):
         """Record that a topic was read from the log up to an end, and report it."""
         if self._followings[topic].note_read(end, now):
             self._broadcast(frames.TopicEnd(topic, end))
 
-    def ask_missing(self, reply, now):
+    def request_missing(self, reply, now):
         """Request the topics without any records from a daemon that has connected.
 
         A daemon that restarts while the log can't be read gets its configuration
@@ -39,7 +39,7 @@
             if following.ask_all(now):
                 reply(frames.TopicAsk(topic, 0))
 
-    def take(self, reply, frame, now):
+    def handle(self, reply, frame, now):
         """Handle a message of another daemon about a topic.
 
         Args:
--- a/whinwinch/daemons/traffic.py
+++ b/whinwinch/daemons/traffic.py
@@ -43,7 +43,7 @@
         # is in another zone.
         self._counts = {}
 
-    def note(self, kind, address, size, count=1):
+    def record_sent(self, kind, address, size, count=1):
         """Count messages of one type sent to an address.
 
         Args:
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -173,7 +173,7 @@
     def _find_reach(self, address):
         if address == self._local_address:
             return subsets.Reachability.UP
-        return self._peers.find(address).reach
+        return self._peers.find(address).reachability
 
     def _count_untried(self, service, tried):
         usable = self._find_usable(service)
--- a/whinwinch/gauges.py
+++ b/whinwinch/gauges.py
@@ -30,7 +30,7 @@
         Gauge("in_service", load.in_service),
         Gauge("waiting", load.waiting),
         Gauge("limit", load.limit),
-        Gauge("links", instance.peers.count_up()),
+        Gauge("links", instance.peers.count_connected()),
         Gauge("configuration_version", instance.table.version),
         Gauge("configuration_age_seconds", instance.find_table_age(now)),
     ]
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -124,10 +124,10 @@
             hello,
             self.guard.serve,
             _answer_abandoned,
-            take_topic=self._apply_topic,
-            greet=self._handle_hello,
-            take_relayed=self._apply_relayed,
-            counted=self.traffic,
+            handle_topic=self._apply_topic,
+            handle_hello=self._handle_hello,
+            handle_relayed=self._apply_relayed,
+            sent_traffic=self.traffic,
         )
         self.topics = topics.Topics(self._broadcast)
         self._sources = sources.Sources(True, (), location.address)
@@ -289,7 +289,7 @@
     def _publish(self):
         """Report the endpoint to connected daemons and to the local directory."""
         self.directory.apply_report(self.location.address, self.endpoint)
-        self.exchange.tell(frames.News(self.endpoint))
+        self.exchange.publish_news(frames.News(self.endpoint))
 
     def _find_parent(self, request, connection, expires):
         """Record a call in the call graph and return its `callgraph.Parent`.
@@ -320,7 +320,7 @@
             self._apply_relayed(address, news)
             return
         if isinstance(news, frames.TOPIC_KINDS):
-            self._apply_topic(self.peers.find(address).tell, news)
+            self._apply_topic(self.peers.find(address).send_if_connected, news)
             return
         self.directory.apply_report(address, news.endpoint)
 
@@ -336,13 +336,13 @@
         """Apply a frame that a daemon sent to its relay or a relay to daemons."""
         now = self._loop.time()
         if isinstance(frame, frames.Graph):
-            self.graph.merge_topology(frame.facts)
+            self.graph.merge_topology(frame.topology)
         elif isinstance(frame, frames.Levels):
             self._reported_levels.record_levels(address, frame.levels, now)
         elif frame.is_total:
-            self._reported_levels.record_total(frame.cuts, now)
+            self._reported_levels.record_total(frame.shed_shares, now)
         else:
-            self._reported_levels.record_relay_sum(address, frame.cuts, now)
+            self._reported_levels.record_relay_sum(address, frame.shed_shares, now)
 
     async def report_levels(self):
         """Report the levels of the local routes to the relay until cancelled."""
@@ -355,7 +355,9 @@
                     self.location.address, levels, self._loop.time()
                 )
                 if not self._sources.is_relay:
-                    self.peers.find(self._sources.reader).tell(frames.Levels(levels))
+                    self.peers.find(self._sources.reader).send_if_connected(
+                        frames.Levels(levels)
+                    )
             reported = levels
 
     async def relay_levels(self):
@@ -382,8 +384,12 @@
         )
         if total or sent:
             for address in self._sources.others:
-                self.peers.find(address).tell(frames.LevelSum(False, zone_sum))
-            self.exchange.tell_all(frames.LevelSum(True, total), self._is_in_local_zone)
+                self.peers.find(address).send_if_connected(
+                    frames.LevelSum(False, zone_sum)
+                )
+            self.exchange.broadcast(
+                frames.LevelSum(True, total), self._is_in_local_zone
+            )
             self._reported_levels.record_total(total, now)
         return total
 
@@ -404,11 +410,11 @@
 
     def _send_topology(self, frame):
         if not self._sources.is_relay:
-            self.peers.find(self._sources.reader).tell(frame)
+            self.peers.find(self._sources.reader).send_if_connected(frame)
             return
         for address in self._sources.others:
-            self.peers.find(address).tell(frame)
-        self.exchange.tell_all(frame, self._is_in_local_zone)
+            self.peers.find(address).send_if_connected(frame)
+        self.exchange.broadcast(frame, self._is_in_local_zone)
 
     @property
     def reader_rank(self):
@@ -428,7 +434,7 @@
                 ranks = sources.Ranks(self.location.address, self.location.zone, listed)
             self._sources = ranks.choose(self._is_up, self.exchange.find_addresses)
             for address in self._sources.wanted:
-                self.peers.find(address).keep()
+                self.peers.find(address).keep_connected()
             for address in self.peers.drop_unused(self._loop.time()):
                 self.directory.discard_report(address)
             await asyncio.sleep(SOURCES_INTERVAL)
@@ -439,7 +445,7 @@
         self._connected_daemons[hello.address] = hello.daemon
         if before != hello.daemon and not self._is_up(hello.address):
             self.directory.discard_report(hello.address)
-        self.topics.ask_missing(reply, self._loop.time())
+        self.topics.request_missing(reply, self._loop.time())
 
     def _is_in_other_zone(self, address):
         return self.directory.find_zone(address) not in ("", self.location.zone)
@@ -456,12 +462,12 @@
         A source may have stalled as a reader while no other daemon is connected to
         it.
         """
-        self.exchange.tell_all(frame)
+        self.exchange.broadcast(frame)
         for address in self._sources.wanted:
-            self.peers.find(address).tell(frame)
+            self.peers.find(address).send_if_connected(frame)
 
     def _apply_topic(self, reply, frame):
-        self.topics.take(reply, frame, self._loop.time())
+        self.topics.handle(reply, frame, self._loop.time())
 
     def list_levels(self):
         """Yield the name and level of each route to the local backend server."""
--- a/whinwinch/tasks.py
+++ b/whinwinch/tasks.py
@@ -20,7 +20,9 @@
 
     async def send(address, message):
         try:
-            data = await parts.peers.find(address).ask(message.SerializeToString())
+            data = await parts.peers.find(address).send_gossip(
+                message.SerializeToString()
+            )
             return peer_pb2.GossipAnswer.FromString(data)
         except (ConnectionError, DecodeError) as error:
             raise gossip.SendError(str(error)) from error
@@ -36,8 +38,8 @@
             gossip.run_gossip(talk),
             follow_configuration(parts, talk),
             write_snapshots(parts),
-            parts.peers.keep(),
-            exchange.keep(),
+            parts.peers.check_periodically(),
+            exchange.clean_up_periodically(),
             joining.run_joining(*build_stream(parts, streams.MEMBERS), parts.members),
         )
     ]
