--- a/bench/spreads.py
+++ b/bench/spreads.py
@@ -212,7 +212,7 @@
     members = [daemon.members.local_member for daemon in mesh.daemons.values()]
     for member in find_readers(members):
         daemon = mesh.daemons[member.endpoint.address]
-        daemon.relay.take([record])
+        daemon.relay.apply_records([record])
         daemon.wake.set()
     start = loop.time()
     waiting = list(mesh.daemons.values())
--- a/test/backends/test_gatekeeper.py
+++ b/test/backends/test_gatekeeper.py
@@ -59,7 +59,7 @@
         start_time = asyncio.get_running_loop().time()
         self.verdict = ClaimVerdict(Verdict.WON)
         self.ended = []
-        self.takes_work = True
+        self.accepts_work = True
         self.running = running.RunningAttempts()
         self.ledger = retries.Ledger()
         self.levels = levels.LearnedLevels()
@@ -76,7 +76,7 @@
             ledger=self.ledger,
             levels=self.levels,
             running=self.running,
-            takes_work=lambda: self.takes_work,
+            accepts_work=lambda: self.accepts_work,
             max_body=1000,
             find_service=resources.default_service,
         )
@@ -151,7 +151,7 @@
         self.assertEqual(["a1"], self.client.ran)
 
     async def test_a_leaving_daemon_refuses_at_once_as_not_run(self):
-        self.takes_work = False
+        self.accepts_work = False
         answer = await self.gatekeeper.serve(build_request())
         self.assertEqual(Outcome.NOT_RUN, answer.outcome)
         self.assertEqual(Reason.LEAVING, answer.reason)
@@ -300,7 +300,7 @@
         waiting.cancel()
         await asyncio.wait([*tasks, waiting])
         self.assertEqual(0, self.gatekeeper.load().in_service)
-        self.assertTrue(self.gatekeeper.has_room())
+        self.assertTrue(self.gatekeeper.has_free_slot())
 
     async def test_claimed_work_completes_although_its_caller_disconnects(self):
         """Guards against cancelling a payout when its caller disconnects.
@@ -328,11 +328,11 @@
 
     async def test_a_full_endpoint_has_no_free_slot_until_an_answer_is_sent(self):
         tasks, leave = await self.occupy_all_slots()
-        self.assertFalse(self.gatekeeper.has_room())
+        self.assertFalse(self.gatekeeper.has_free_slot())
         leave.set()
         answers = await asyncio.gather(*tasks)
         self.assertEqual([Outcome.COMPLETED] * 4, [one.outcome for one in answers])
-        self.assertTrue(self.gatekeeper.has_room())
+        self.assertTrue(self.gatekeeper.has_free_slot())
 
 
 if __name__ == "__main__":
--- a/test/daemons/test_gossip.py
+++ b/test/daemons/test_gossip.py
@@ -50,7 +50,7 @@
         async def steps(network):
             daemons = list(network.daemons.values())
             await wait_for(lambda: {len(d.members) for d in daemons} == {12})
-            daemons[3].relay.take(build_records(b"a", b"b"))
+            daemons[3].relay.apply_records(build_records(b"a", b"b"))
             daemons[3].wake.set()
             await wait_for(lambda: {d.relay.offset for d in daemons} == {2}, 9.0)
 
@@ -70,7 +70,7 @@
         async def main():
             network, endpoints = build_network(3)
             for endpoint in endpoints[:2]:
-                network.daemons[endpoint.address].relay.take(records)
+                network.daemons[endpoint.address].relay.apply_records(records)
             newcomer = network.daemons[endpoints[2].address]
             await network.run(wait_for(lambda: newcomer.relay.offset == len(records)))
             self.assertLess(network.largest, 80_000)
--- a/test/logservice/test_claimer.py
+++ b/test/logservice/test_claimer.py
@@ -366,7 +366,7 @@
         one = self.start()
         key = make_key()
         self.claim(one, key)
-        one.note_done(key, "a1", 201)
+        one.record_done(key, "a1", 201)
         self.wait(one.flush())
         later = self.claim(self.start("g2"), key, "a2")
         self.assertEqual(later[:4], (Verdict.LOST, "a1", True, 201))
--- a/test/logservice/test_relay.py
+++ b/test/logservice/test_relay.py
@@ -51,28 +51,30 @@
         records = build_records(*[b"x"] * 10)
         for offset in offsets:
             before = configuration.offset
-            configuration.relay.take([records[offset]])
+            configuration.relay.apply_records([records[offset]])
             self.assertIn(configuration.offset, (before, before + 1))
-        configuration.relay.take(records)
+        configuration.relay.apply_records(records)
         self.assertEqual(configuration.offset, 10)
 
     def test_age_counts_only_when_nothing_is_missing(self):
         configuration = FakeConfiguration()
-        configuration.relay.confirm(2, 0.0, 10.0)
+        configuration.relay.record_log_end(2, 0.0, 10.0)
         self.assertEqual(configuration.relay.find_age(10.0), float("inf"))
-        configuration.relay.take(build_records(b"a", b"b"))
-        configuration.relay.confirm(2, 3.0, 10.0)
-        configuration.relay.confirm(2, 9.0, 10.0)
+        configuration.relay.apply_records(build_records(b"a", b"b"))
+        configuration.relay.record_log_end(2, 3.0, 10.0)
+        configuration.relay.record_log_end(2, 9.0, 10.0)
         self.assertEqual(configuration.relay.find_age(12.0), 5.0)
 
     def test_gives_at_least_one_record_and_otherwise_respects_the_limit(self):
         configuration = FakeConfiguration()
-        configuration.relay.take(build_records(b"a" * 50, b"b" * 30, b"c" * 30))
-        given_records = configuration.relay.give(0, limit=40)
+        configuration.relay.apply_records(
+            build_records(b"a" * 50, b"b" * 30, b"c" * 30)
+        )
+        given_records = configuration.relay.list_records(0, limit=40)
         self.assertEqual([r.offset for r in given_records], [0])
-        given_records = configuration.relay.give(1, limit=60)
+        given_records = configuration.relay.list_records(1, limit=60)
         self.assertEqual([r.offset for r in given_records], [1, 2])
-        self.assertEqual(configuration.relay.give(3), ())
+        self.assertEqual(configuration.relay.list_records(3), ())
 
     def test_peer_brings_a_new_daemon_up_to_date_after_retention(self):
         """Guards against a new daemon without a complete configuration.
@@ -84,11 +86,11 @@
         records = build_records(b"a", b"b", b"c", b"s2", b"d")
         old = FakeConfiguration()
         old.store._limit = 3
-        old.relay.take(records)
+        old.relay.apply_records(records)
         for _ in range(3):
             newcomer = FakeConfiguration()
             for _ in range(3):
-                newcomer.relay.take(old.relay.give(newcomer.offset))
+                newcomer.relay.apply_records(old.relay.list_records(newcomer.offset))
             self.assertEqual(newcomer.offset, 5)
             # The next daemon gets the configuration from this one.
             old = newcomer
@@ -106,10 +108,12 @@
         source = random.Random(seed)
         records = build_records(*[b"x" * 8] * 20)
         peers = [FakeConfiguration() for _ in range(4)]
-        peers[0].relay.take(records)
+        peers[0].relay.apply_records(records)
         for _ in range(400):
             supplier, receiver = source.sample(peers, 2)
-            receiver.relay.take(supplier.relay.give(receiver.offset, limit))
+            receiver.relay.apply_records(
+                supplier.relay.list_records(receiver.offset, limit)
+            )
         self.assertEqual({peer.offset for peer in peers}, {20})
 
 
--- a/test/logservice/test_sources.py
+++ b/test/logservice/test_sources.py
@@ -32,9 +32,11 @@
             readers = [address for address, each in chosen.items() if each.is_reader]
             self.assertEqual(len(readers), 3 * groups, size)
             for address in readers:
-                self.assertEqual({address, *chosen[address].others}, set(readers))
+                self.assertEqual(
+                    {address, *chosen[address].other_readers}, set(readers)
+                )
             for address, each in chosen.items():
-                reachable_readers = {address, *each.wanted} & set(readers)
+                reachable_readers = {address, *each.peer_addresses} & set(readers)
                 self.assertGreaterEqual(len(reachable_readers), 2)
 
     def test_single_zone_has_two_readers(self):
@@ -69,7 +71,7 @@
         readers = [address for address, each in after.items() if each.is_reader]
         self.assertEqual(len(readers), 3)
         # The unreachable reader is retried, and reads again once it is back.
-        self.assertTrue(all(set(first) & set(e.wanted) for e in after.values()))
+        self.assertTrue(all(set(first) & set(e.peer_addresses) for e in after.values()))
 
     def test_reader_contacts_unreachable_daemons(self):
         """Guards against a restarted daemon staying without a configuration.
@@ -80,7 +82,9 @@
         mesh = build_mesh(3, 5)
         readers = [a for a, each in choose(mesh).items() if each.is_reader]
         lost = [each.address for each in mesh if each.address not in readers]
-        visited = {a for each in choose(mesh, lost).values() for a in each.wanted}
+        visited = {
+            a for each in choose(mesh, lost).values() for a in each.peer_addresses
+        }
         self.assertLessEqual(set(lost), visited)
 
     def test_all_other_daemons_of_the_zone_are_dead(self):
@@ -89,7 +93,7 @@
         chosen = choose(mesh, dead)["10.0.0.0:1"]
         self.assertTrue(chosen.is_reader)
         self.assertLessEqual(
-            len(chosen.wanted), 2 * (sources.MAX_UNREACHABLE_TRIED + 1)
+            len(chosen.peer_addresses), 2 * (sources.MAX_UNREACHABLE_TRIED + 1)
         )
 
 
--- a/test/platform/test_followers.py
+++ b/test/platform/test_followers.py
@@ -53,14 +53,14 @@
         self.store = ScriptedStore(*answers)
         events.install(self.log)
         self.addCleanup(events.install, events.Silence())
-        following = keyed.Following(keyed.Copy(self.applied.extend), 1.0)
+        following = keyed.FollowedTopic(keyed.TopicCopy(self.applied.extend), 1.0)
         task = asyncio.create_task(
             followers.follow_topic(
                 self.store,
                 "keyed.op",
                 following,
                 lambda: True,
-                lambda topic, end, now: following.note_read(end, now),
+                lambda topic, end, now: following.record_read(end, now),
             )
         )
         async with asyncio.timeout(5.0):
--- a/test/platform/test_store.py
+++ b/test/platform/test_store.py
@@ -102,7 +102,7 @@
             followers.follow_topic(
                 self.store,
                 TOPIC,
-                keyed.Following(keyed.Copy(self.applied.extend), 1.0),
+                keyed.FollowedTopic(keyed.TopicCopy(self.applied.extend), 1.0),
                 lambda: True,
                 lambda topic, end, now: None,
                 0.2,
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -46,7 +46,7 @@
 class FakeGuard:
     """A guard whose backend server belongs to another service."""
 
-    def has_room(self, service):
+    def has_free_slot(self, service):
         return False
 
 
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -205,7 +205,7 @@
         ledger=parts.ledger,
         levels=parts.levels,
         running=parts.running,
-        takes_work=lambda: parts.control.admits(Direction.INWARD),
+        accepts_work=lambda: parts.control.admits(Direction.INWARD),
         max_body=parts.settings.max_body,
         find_service=lambda name: parts.store.snapshot().find_service(name),
         trace_hooks=parts.trace_hooks,
@@ -223,7 +223,7 @@
         targets=router.AttemptTargets(
             local_daemon=parts.local_daemon,
             find_endpoints=parts.members.find_endpoints,
-            has_room=gatekeeper.has_room,
+            has_free_slot=gatekeeper.has_free_slot,
             serve=gatekeeper.serve,
             call=call,
         ),
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -27,7 +27,7 @@
         ledger: `retries.Ledger` of the running attempts' retry budgets.
         levels: `levels.LearnedLevels` of the daemon.
         running: `running.RunningAttempts` of the daemon.
-        takes_work: Function that returns whether new work is accepted.
+        accepts_work: Function that returns whether new work is accepted.
         max_body: Maximum size of an answer's body, in bytes.
         find_service: Function from a service name to its `resources.ServiceSpec`.
         trace_hooks: `recording.TraceHooks` that write trace records.
@@ -44,7 +44,7 @@
         ledger,
         levels,
         running,
-        takes_work,
+        accepts_work,
         max_body,
         find_service,
         trace_hooks=recording.NO_TRACE_HOOKS,
@@ -55,7 +55,7 @@
         self._ledger = ledger
         self._levels = levels
         self._running = running
-        self._takes_work = takes_work
+        self._accepts_work = accepts_work
         self._max_body = max_body
         self._find_service = find_service
         self._trace_hooks = trace_hooks
@@ -86,10 +86,10 @@
         else:
             self._slots.open(announcement.slots)
 
-    def has_room(self):
+    def has_free_slot(self):
         """Return whether a request would be admitted immediately."""
-        takes_work = self._client is not None and self._takes_work()
-        return takes_work and self._slots.has_room
+        accepts_work = self._client is not None and self._accepts_work()
+        return accepts_work and self._slots.has_free_slot
 
     def load(self, request=None):
         """Return the `messages.Load` of the backend server as the gate observes it.
@@ -140,7 +140,7 @@
 
     def _find_refusal_reason(self, request, now):
         """Return the `Reason` to refuse a request without asking the gate, or None."""
-        if not self._takes_work():
+        if not self._accepts_work():
             return Reason.LEAVING
         if self._client is None or request.service != self.service:
             return Reason.NO_ENDPOINT
--- a/whinwinch/backends/guard.py
+++ b/whinwinch/backends/guard.py
@@ -55,17 +55,17 @@
     """Functions that translate between attempts and the backend server's protocol.
 
     Attributes:
-        form: Formats a request, given the seconds until its deadline and the
+        format_request: Formats a request, given the seconds until its deadline and the
             backend server's identity, as the bytes to send.
-        judge: Converts a request and its `http1.messages.HttpResponse` to an
+        parse_answer: Converts a request and its `http1.messages.HttpResponse` to an
             `Answer`.
-        belongs: Returns whether a `http1.messages.HttpResponse` is the answer to
+        is_answer_to: Returns whether a `http1.messages.HttpResponse` is the answer to
             a request.
     """
 
-    form: Callable
-    judge: Callable
-    belongs: Callable
+    format_request: Callable
+    parse_answer: Callable
+    is_answer_to: Callable
 
 
 class Guard:
@@ -112,9 +112,9 @@
         elif before.slots != backend.slots:
             self._slots.resize(backend.slots)
 
-    def has_room(self, service):
+    def has_free_slot(self, service):
         """Return whether a request for a service would be admitted immediately."""
-        return self._find_refusal_reason(service) is None and self._slots.has_room
+        return self._find_refusal_reason(service) is None and self._slots.has_free_slot
 
     def load(self, request=None):
         """Return the `messages.Load` of the backend server as the gate observes it."""
@@ -224,13 +224,13 @@
         reason = self._find_refusal_reason(request.service)
         if reason is not None or remaining <= 0.0:
             return _build_not_run(request, reason or Reason.DEADLINE)
-        data = self._dialect.form(request, remaining, backend.identity)
+        data = self._dialect.format_request(request, remaining, backend.identity)
         try:
             response = await self._pool.exchange(
                 data,
                 request.deadline + ANSWER_GRACE,
                 request.method == "HEAD",
-                functools.partial(self._dialect.belongs, request),
+                functools.partial(self._dialect.is_answer_to, request),
             )
         except client.NotSentError as error:
             logging.info("failed to reach the backend server: %s", error)
@@ -245,7 +245,7 @@
         return self._parse_answer(request, response, backend)
 
     def _parse_answer(self, request, response, backend):
-        answer = self._dialect.judge(request, response)
+        answer = self._dialect.parse_answer(request, response)
         if answer.reason is Reason.WRONG_BACKEND and self.backend is backend:
             # Another backend server has this address. Nothing is forwarded to it
             # until it has announced itself here.
--- a/whinwinch/backends/slots.py
+++ b/whinwinch/backends/slots.py
@@ -40,7 +40,7 @@
         self._deliver(self._gate.resize(count, self._loop.time()))
 
     @property
-    def has_room(self):
+    def has_free_slot(self):
         """Whether a request would be admitted immediately."""
         load = self._gate.load(self._loop.time())
         return not load.waiting and load.in_service < load.limit
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -104,7 +104,7 @@
         if answer.outcome is messages.Outcome.NOT_RUN:
             service_claimer.release(request.key, request.attempt)
         elif answer.outcome is messages.Outcome.COMPLETED:
-            service_claimer.note_done(request.key, request.attempt, answer.status)
+            service_claimer.record_done(request.key, request.attempt, answer.status)
 
     def begin_leaving(self):
         """Refuse new requests, finish those in flight, then stop."""
@@ -193,7 +193,7 @@
                     window=self._settings.key_window,
                     retention=self._settings.log_retention,
                 ),
-                note=self._trace_hooks.claims,
+                trace_record=self._trace_hooks.claims,
             )
             self._claimers[service] = service_claimer
             self._claimer_tasks.add(self._loop.create_task(service_claimer.run()))
@@ -206,7 +206,7 @@
         """
         for service_claimer in self._claimers.values():
             try:
-                async with asyncio.timeout(claimer.PATIENCE):
+                async with asyncio.timeout(claimer.VERDICT_TIMEOUT):
                     await service_claimer.flush()
             except TimeoutError:
                 logging.warning("claims not flushed: the log does not answer")
--- a/whinwinch/daemons/gossip.py
+++ b/whinwinch/daemons/gossip.py
@@ -97,7 +97,9 @@
         sender=gossip.members.local_member.endpoint.daemon,
         configuration_offset=gossip.relay.offset,
         configuration_age=gossip.relay.find_age(now),
-        records=map(pack_record, gossip.relay.give(message.configuration_offset)),
+        records=map(
+            pack_record, gossip.relay.list_records(message.configuration_offset)
+        ),
     )
     if message.full:
         page = gossip.members.build_page(message.bucket, now)
@@ -189,9 +191,9 @@
     changes = gossip.members.merge(unpack_members(news.members), now)
     if changes:
         gossip.notify(changes)
-    if gossip.relay.take(_unpack_records(news.records)):
+    if gossip.relay.apply_records(_unpack_records(news.records)):
         gossip.wake.set()
-    gossip.relay.confirm(news.configuration_offset, news.configuration_age, now)
+    gossip.relay.record_log_end(news.configuration_offset, news.configuration_age, now)
 
 
 def _schedule_catch_up(gossip, daemon):
@@ -313,7 +315,7 @@
     Many records mean that this daemon itself was behind. The others have them by
     now, or request them when they receive this daemon's offset.
     """
-    records = relay.give(pushed, MAX_PUSH_BYTES)
+    records = relay.list_records(pushed, MAX_PUSH_BYTES)
     if records and records[-1].offset + 1 < relay.offset:
         return ()
     return records
--- a/whinwinch/daemons/topics.py
+++ b/whinwinch/daemons/topics.py
@@ -21,12 +21,12 @@
         self._followings = {}
 
     def add(self, topic, following):
-        """Add a topic with its `keyed.Following`."""
+        """Add a topic with its `keyed.FollowedTopic`."""
         self._followings[topic] = following
 
     def record_read(self, topic, end, now):
         """Record that a topic was read from the log up to an end, and report it."""
-        if self._followings[topic].note_read(end, now):
+        if self._followings[topic].record_read(end, now):
             self._broadcast(frames.TopicEnd(topic, end))
 
     def request_missing(self, reply, now):
@@ -36,7 +36,7 @@
         from its peers. They connect to it, though it doesn't know their addresses yet.
         """
         for topic, following in self._followings.items():
-            if following.ask_all(now):
+            if following.should_request_all(now):
                 reply(frames.TopicAsk(topic, 0))
 
     def handle(self, reply, frame, now):
@@ -54,8 +54,8 @@
         if isinstance(frame, frames.TopicAsk):
             _send_records(reply, frame, following.copy)
         elif isinstance(frame, frames.TopicRecords):
-            following.take_records(frame.records, frame.start, frame.end)
-        elif following.take_end(frame.end, now):
+            following.apply_records(frame.records, frame.start, frame.end)
+        elif following.apply_end(frame.end, now):
             reply(frames.TopicAsk(frame.topic, following.copy.end))
 
 
@@ -64,6 +64,6 @@
 
     A daemon that gets no answer reads the log itself.
     """
-    records = copy.give(request.start)
+    records = copy.list_newer(request.start)
     if records is not None:
         reply(frames.TopicRecords(request.topic, request.start, copy.end, records))
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -155,7 +155,7 @@
         """
         local_address = self._local_address
         endpoints = self._find_usable(request.service)
-        if local_address not in tried and self._guard.has_room(request.service):
+        if local_address not in tried and self._guard.has_free_slot(request.service):
             for endpoint in endpoints:
                 if endpoint.address == local_address:
                     return Choice(endpoint, "local endpoint has a free slot")
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -383,7 +383,7 @@
             self._reported_levels.sum_all(now),
         )
         if total or sent:
-            for address in self._sources.others:
+            for address in self._sources.other_readers:
                 self.peers.find(address).send_if_connected(
                     frames.LevelSum(False, zone_sum)
                 )
@@ -412,14 +412,14 @@
         if not self._sources.is_relay:
             self.peers.find(self._sources.reader).send_if_connected(frame)
             return
-        for address in self._sources.others:
+        for address in self._sources.other_readers:
             self.peers.find(address).send_if_connected(frame)
         self.exchange.broadcast(frame, self._is_in_local_zone)
 
     @property
     def reader_rank(self):
         """Index of the local group of daemons among all groups with a reader each."""
-        return self._sources.place
+        return self._sources.group_index
 
     def is_reader(self):
         """Return whether this daemon reads the log for other daemons."""
@@ -433,7 +433,7 @@
                 listed = self.directory.all_endpoints
                 ranks = sources.Ranks(self.location.address, self.location.zone, listed)
             self._sources = ranks.choose(self._is_up, self.exchange.find_addresses)
-            for address in self._sources.wanted:
+            for address in self._sources.peer_addresses:
                 self.peers.find(address).keep_connected()
             for address in self.peers.drop_unused(self._loop.time()):
                 self.directory.discard_report(address)
@@ -463,7 +463,7 @@
         it.
         """
         self.exchange.broadcast(frame)
-        for address in self._sources.wanted:
+        for address in self._sources.peer_addresses:
             self.peers.find(address).send_if_connected(frame)
 
     def _apply_topic(self, reply, frame):
--- a/whinwinch/logservice/claimer.py
+++ b/whinwinch/logservice/claimer.py
@@ -39,7 +39,7 @@
 MAX_REMEMBERED_CLAIMS = 100_000
 
 # Seconds that a claim waits for its verdict before LOG_DOWN is returned.
-PATIENCE = 2.0
+VERDICT_TIMEOUT = 2.0
 
 # Timeout of one call to the log, in seconds.
 CALL_TIMEOUT = 1.0
@@ -95,7 +95,7 @@
         verdict_timeout: Seconds after which a claim gets LOG_DOWN.
         timeout: Timeout of one call to the log, in seconds.
         draw: Function that returns a random float from 0 to 1, for the backoff.
-        note: Trace hook, called with the offset and data of each record read.
+        trace_record: Trace hook, called with the offset and data of each record read.
     """
 
     def __init__(
@@ -106,10 +106,10 @@
         unavailable,
         run=asyncio.to_thread,
         state=None,
-        verdict_timeout=PATIENCE,
+        verdict_timeout=VERDICT_TIMEOUT,
         timeout=CALL_TIMEOUT,
         draw=random.random,
-        note=None,
+        trace_record=None,
     ):
         self._client = client
         self._stream = f"{streams.CLAIMS}.{service}"
@@ -120,7 +120,7 @@
         self._verdict_timeout = verdict_timeout
         self._timeout = timeout
         self._draw = draw
-        self._trace_record = note or (lambda offset, data: None)
+        self._trace_record = trace_record or (lambda offset, data: None)
         self._queue = collections.deque()
         self._waiters = {}
         self._sent = set()
@@ -169,7 +169,7 @@
         """
         self._enqueue(Release(claims.normalize_key(key), attempt, self._incarnation))
 
-    def note_done(self, key, attempt, status):
+    def record_done(self, key, attempt, status):
         """Queue the record that the backend server has answered an attempt.
 
         Args:
--- a/whinwinch/logservice/follower.py
+++ b/whinwinch/logservice/follower.py
@@ -76,7 +76,7 @@
         snapshot.
     """
     before = relay.offset
-    applied = relay.take(page.records)
+    applied = relay.apply_records(page.records)
     if page.first > before and page.first > cursor:
         logging.warning(
             "the log has dropped configuration records %d to %d; "
@@ -84,7 +84,7 @@
             before,
             page.first - 1,
         )
-    relay.confirm(page.next, 0.0, now)
+    relay.record_log_end(page.next, 0.0, now)
     if applied:
         return relay.offset
     if page.records:
--- a/whinwinch/logservice/keyed.py
+++ b/whinwinch/logservice/keyed.py
@@ -34,7 +34,7 @@
     offset: int = 0
 
 
-class Copy:
+class TopicCopy:
     """The newest record of each key that has reached this daemon.
 
     Args:
@@ -54,7 +54,7 @@
         self.end = 0
         self.is_known = False
 
-    def take(self, records, start, end):
+    def apply_records(self, records, start, end):
         """Apply the records from a start offset to an end offset.
 
         Args:
@@ -71,7 +71,7 @@
         self._apply_newer(records, end)
         return True
 
-    def take_newest(self, records, end):
+    def apply_listing(self, records, end):
         """Apply a listing of the newest record of each key.
 
         A listing that is older than the copy changes nothing.
@@ -90,7 +90,7 @@
         ]
         self._apply_newer([*records, *dropped], end)
 
-    def give(self, start):
+    def list_newer(self, start):
         """Return the records that bring another copy up to date.
 
         Args:
@@ -131,25 +131,25 @@
             self._deletions_floor = record.offset + 1
 
 
-class Following:
+class FollowedTopic:
     """Freshness of a copy, and the decision whether to read the log for it.
 
     Args:
-        copy: `Copy` of the topic.
-        patience: Seconds without a confirmation that the copy is current after
-            which the daemon reads the log itself.
+        copy: `TopicCopy` of the topic.
+        max_unconfirmed_age: Seconds without a confirmation that the copy is current
+            after which the daemon reads the log itself.
     """
 
-    def __init__(self, copy, patience):
+    def __init__(self, copy, max_unconfirmed_age):
         self.copy = copy
-        self._max_unconfirmed = patience
+        self._max_unconfirmed_age = max_unconfirmed_age
         self._confirmed = -math.inf
         # The highest end that peers have reported, and when it was last reported.
         self._reported_end = 0
         self._reported_time = -math.inf
         self._requested = -math.inf
 
-    def note_read(self, end, now):
+    def record_read(self, end, now):
         """Record that the log was read up to an end.
 
         Args:
@@ -166,7 +166,7 @@
         self._confirmed = now
         return True
 
-    def take_end(self, end, now):
+    def apply_end(self, end, now):
         """Apply the end of the topic that a peer has just read from the log.
 
         Args:
@@ -177,7 +177,7 @@
             Whether to request the missing records from that peer.
         """
         if self.copy.is_known and end <= self.copy.end:
-            self.note_read(end, now)
+            self.record_read(end, now)
             return False
         if end >= self._reported_end:
             self._reported_end, self._reported_time = end, now
@@ -186,7 +186,7 @@
         self._requested = now
         return True
 
-    def ask_all(self, now):
+    def should_request_all(self, now):
         """Return whether to request the whole topic from a newly connected peer.
 
         Hundreds of peers connect where all daemons start together. If the topic
@@ -197,9 +197,9 @@
         self._requested = now
         return True
 
-    def take_records(self, records, start, end):
-        """Apply the records that a peer has sent, as in `Copy.take`."""
-        if self.copy.take(records, start, end):
+    def apply_records(self, records, start, end):
+        """Apply the records that a peer has sent, as in `TopicCopy.apply_records`."""
+        if self.copy.apply_records(records, start, end):
             self._requested = -math.inf
             if self.copy.end >= self._reported_end:
                 self._confirmed = max(self._confirmed, self._reported_time)
@@ -213,7 +213,7 @@
         """
         if is_reader or not self.copy.is_known:
             return True
-        return now - self._confirmed > self._max_unconfirmed
+        return now - self._confirmed > self._max_unconfirmed_age
 
 
 def _get_offset(record):
--- a/whinwinch/logservice/relay.py
+++ b/whinwinch/logservice/relay.py
@@ -47,7 +47,7 @@
         """Offset of the next record to apply."""
         return self._find_offset()
 
-    def take(self, records):
+    def apply_records(self, records):
         """Apply the records that are new.
 
         A peer may be behind, and late messages carry old records. Applying an old
@@ -62,7 +62,7 @@
                 applied += 1
         return applied
 
-    def give(self, offset, limit=MAX_ANSWER_BYTES):
+    def list_records(self, offset, limit=MAX_ANSWER_BYTES):
         """Return records for a peer, from the next offset that it needs.
 
         Returns at least one record, if there is any, and more as long as they fit
@@ -79,7 +79,7 @@
             chosen.append(record)
         return tuple(chosen)
 
-    def confirm(self, offset, age, now):
+    def record_log_end(self, offset, age, now):
         """Record that the log's next offset was `offset`, `age` seconds ago.
 
         This does not confirm the local configuration while it is behind the
--- a/whinwinch/logservice/sources.py
+++ b/whinwinch/logservice/sources.py
@@ -32,20 +32,20 @@
 
     Attributes:
         is_reader: Whether this daemon reads the log itself.
-        wanted: Addresses of the daemons that it should be connected to.
+        peer_addresses: Addresses of the daemons that it should be connected to.
         reader: Address of the daemon that reads for it, which may be itself.
         is_relay: Whether `reader` is this daemon, so that it relays the reports of
             its group. In a single group a second daemon reads but relays nothing.
-        others: For a reader, addresses of the readers of the other groups.
-        place: Index of this daemon's group among all groups.
+        other_readers: For a reader, addresses of the readers of the other groups.
+        group_index: Index of this daemon's group among all groups.
     """
 
     is_reader: bool
-    wanted: tuple[str, ...]
+    peer_addresses: tuple[str, ...]
     reader: str
     is_relay: bool = True
-    others: tuple[str, ...] = ()
-    place: int = 0
+    other_readers: tuple[str, ...] = ()
+    group_index: int = 0
 
 
 class Group(NamedTuple):
@@ -88,7 +88,7 @@
             n for n, group in enumerate(groups) if local_address in group.addresses
         )
         self._local_group = groups[local_index].addresses
-        self._place = local_index
+        self._group_index = local_index
         # The next zone loses power independently of the local one.
         self._other_groups = [
             g.addresses for g in groups[local_index + 1 :] + groups[:local_index]
@@ -114,10 +114,10 @@
             )
             readers += other[-1:]
         is_reader = self._local_address in readers
-        visited_addresses, others = (), ()
+        visited_addresses, other_readers = (), ()
         if is_reader:
             walks = [self._walk(addresses, is_up) for addresses in self._other_groups]
-            others = tuple(walk[-1] for walk in walks)
+            other_readers = tuple(walk[-1] for walk in walks)
             connected = find_connected()
             unreachable = self._find_unreachable(
                 lambda address: address in connected or is_up(address)
@@ -126,7 +126,9 @@
         wanted = dict.fromkeys((*near, *other, *visited_addresses))
         wanted.pop(self._local_address, None)
         is_relay = reader == self._local_address
-        return Sources(is_reader, tuple(wanted), reader, is_relay, others, self._place)
+        return Sources(
+            is_reader, tuple(wanted), reader, is_relay, other_readers, self._group_index
+        )
 
     def _find_unreachable(self, is_linked):
         """Return unreachable daemons of the group that this daemon reads for.
--- a/whinwinch/platform/followers.py
+++ b/whinwinch/platform/followers.py
@@ -29,7 +29,7 @@
     Args:
         store: `store.Store`.
         topic: Name of the topic.
-        following: `keyed.Following` of the topic.
+        following: `keyed.FollowedTopic` of the topic.
         is_reader: Function that returns whether this daemon reads the log for other
             daemons.
         record_read: Function called after each read with the topic, the end offset
@@ -47,11 +47,11 @@
         try:
             if is_gone or not following.copy.is_known:
                 page = await store.read_newest(topic)
-                following.copy.take_newest(page.records, page.end)
+                following.copy.apply_listing(page.records, page.end)
             else:
                 start = following.copy.end
                 page = await store.read_on(topic, start, wait)
-                following.copy.take(page.records, start, page.end)
+                following.copy.apply_records(page.records, start, page.end)
         except StoreError as error:
             is_gone = error.outcome is Outcome.GONE
             if is_gone:
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -213,7 +213,7 @@
         )
 
     def _follow(self, topic, apply_records, read_timeout):
-        """Return the `keyed.Following` of a topic and share the topic with peers.
+        """Return the `keyed.FollowedTopic` of a topic and share the topic with peers.
 
         Args:
             topic: Name of the topic.
@@ -221,7 +221,7 @@
             read_timeout: Seconds without a report from peers after which this daemon
                 reads the topic itself.
         """
-        following = keyed.Following(keyed.Copy(apply_records), read_timeout)
+        following = keyed.FollowedTopic(keyed.TopicCopy(apply_records), read_timeout)
         self.instance.topics.add(topic, following)
         return following
 
--- a/whinwinch/router.py
+++ b/whinwinch/router.py
@@ -65,7 +65,7 @@
     Attributes:
         local_daemon: Identifier of this daemon.
         find_endpoints: Function from the name of a service to its endpoints.
-        has_room: Function that returns whether the local backend server has a
+        has_free_slot: Function that returns whether the local backend server has a
             free slot.
         serve: Coroutine function that serves an attempt at the local backend
             server.
@@ -75,7 +75,7 @@
 
     local_daemon: str
     find_endpoints: object
-    has_room: object
+    has_free_slot: object
     serve: object
     call: object
 
@@ -278,7 +278,11 @@
         endpoints = self._targets.find_endpoints(request.service)
         for endpoint in endpoints:
             is_local = endpoint.daemon == self._targets.local_daemon
-            if is_local and endpoint.daemon not in tried and self._targets.has_room():
+            if (
+                is_local
+                and endpoint.daemon not in tried
+                and self._targets.has_free_slot()
+            ):
                 return placement.Choice(endpoint, "local endpoint has a free slot")
         return self._placement.choose(request, endpoints, self._clock(), tried)
 
