--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -260,7 +260,7 @@
 
     def _decide_retry(self, sent, answer, holder, tries):
         """Settle the budget; return the delay before a retry, or None."""
-        self.ledger.return_unused(sent.attempt, answer.unused)
+        self.ledger.return_unused(sent.attempt, answer.unused_retries)
         remaining = self.ledger.get_remaining(holder)
         now = self.mesh.loop.now
         decision = retries.decide_retry(
@@ -363,8 +363,8 @@
             request.attempt,
             messages.Outcome.COMPLETED,
             status=status,
-            unused=self.caller.ledger.close(request.attempt),
-            deeper=status == 503,
+            unused_retries=self.caller.ledger.close(request.attempt),
+            from_downstream=status == 503,
             load=self.gate.load(now, request)._replace(below=below),
         )
         self.mesh.loop.call_later(NETWORK_SECONDS, reply, answer)
@@ -648,5 +648,5 @@
         decision.reason,
         status=503,
         retry_after=decision.retry_after,
-        deeper=deeper,
+        from_downstream=deeper,
     )
--- a/test/backends/test_gatekeeper.py
+++ b/test/backends/test_gatekeeper.py
@@ -93,7 +93,7 @@
     async def test_a_whole_answer_returns_the_unused_budget(self):
         answer = await self.gatekeeper.serve(build_request())
         self.assertEqual(Outcome.COMPLETED, answer.outcome)
-        self.assertEqual(3, answer.unused)
+        self.assertEqual(3, answer.unused_retries)
         self.assertEqual(0, self.gatekeeper.load().in_service)
 
     async def test_work_claimed_by_another_attempt_is_not_run(self):
@@ -155,7 +155,7 @@
         answer = await self.gatekeeper.serve(build_request())
         self.assertEqual(Outcome.NOT_RUN, answer.outcome)
         self.assertEqual(Reason.LEAVING, answer.reason)
-        self.assertEqual(3, answer.unused)
+        self.assertEqual(3, answer.unused_retries)
 
     async def test_no_work_is_admitted_without_a_backend_server(self):
         self.gatekeeper.install(None)
@@ -185,7 +185,7 @@
 
         self.client.answer = fail_below
         answer = await self.gatekeeper.serve(build_request())
-        self.assertTrue(answer.deeper)
+        self.assertTrue(answer.from_downstream)
         self.assertEqual(2.0, answer.retry_after)
 
     async def test_a_request_whose_nested_call_would_be_refused_occupies_no_slot(self):
@@ -210,7 +210,7 @@
         )
         self.assertEqual(ran, len(self.client.ran))
         self.assertEqual(Reason.LEVEL, answer.reason)
-        self.assertTrue(answer.deeper)
+        self.assertTrue(answer.from_downstream)
         self.assertGreater(answer.load.below, 0.0)
 
     async def test_requests_that_rarely_make_nested_calls_are_not_refused(self):
--- a/test/backends/test_guard.py
+++ b/test/backends/test_guard.py
@@ -18,7 +18,9 @@
 
 
 def judge(request, response):
-    return Answer(request.attempt, Outcome.COMPLETED, body=response.body, offered=True)
+    return Answer(
+        request.attempt, Outcome.COMPLETED, body=response.body, reached_backend=True
+    )
 
 
 class GuardTest(unittest.IsolatedAsyncioTestCase):
--- a/test/daemons/test_links.py
+++ b/test/daemons/test_links.py
@@ -63,10 +63,10 @@
     status=st.integers(100, 599),
     headers=HEADERS,
     body=st.binary(max_size=20),
-    unused=st.integers(0, 1000),
+    unused_retries=st.integers(0, 1000),
     retry_after=st.floats(0, 100),
-    deeper=st.booleans(),
-    offered=st.booleans(),
+    from_downstream=st.booleans(),
+    reached_backend=st.booleans(),
     load=st.builds(
         Load,
         level=st.floats(0, 4),
--- a/test/emulator/test_topics.py
+++ b/test/emulator/test_topics.py
@@ -41,7 +41,7 @@
             raise StoreError(error, "turned away")
 
         store = member.node._store
-        store.read_on = store.read_newest = read
+        store.read_from = store.read_newest = read
 
     async def test_two_read_for_all(self):
         """Nothing happens for a while.
--- a/test/operators/test_pages.py
+++ b/test/operators/test_pages.py
@@ -65,9 +65,9 @@
 
     def test_limits_of_headers(self):
         page = read_page("guides/callers.md")
-        for limit in (headers.LONGEST_TIMEOUT, headers.LONGEST_CALLER):
+        for limit in (headers.MAX_TIMEOUT_MS, headers.MAX_CALLER_LENGTH):
             self.assertIn(str(limit), page)
-        self.assertIn(f"{headers.LONGEST_KEY} characters", page)
+        self.assertIn(f"{headers.MAX_KEY_LENGTH} characters", page)
 
     def test_examples_of_resources_are_valid(self):
         for page in ("reference/resources.md", "guides/operators.md"):
--- a/test/platform/test_dialect.py
+++ b/test/platform/test_dialect.py
@@ -77,7 +77,7 @@
         self.assertEqual(
             (answer.outcome, answer.reason), (Outcome.NOT_RUN, Reason.SHED)
         )
-        self.assertTrue(answer.offered)
+        self.assertTrue(answer.reached_backend)
 
     def test_another_backend_server_at_the_address(self):
         answer = parse(421, ("X-Instance-Id", "i-2"))
--- a/test/platform/test_followers.py
+++ b/test/platform/test_followers.py
@@ -34,7 +34,7 @@
     async def read_newest(self, topic):
         return await self._answer(("newest", topic))
 
-    async def read_on(self, topic, offset, wait):
+    async def read_from(self, topic, offset, wait):
         return await self._answer(("on", topic, offset))
 
     async def _answer(self, read):
--- a/test/platform/test_store.py
+++ b/test/platform/test_store.py
@@ -20,7 +20,7 @@
         port = await self.emulated.listen()
         self.store = store.Store(Address("127.0.0.1", port))
         self.addAsyncCleanup(self.end)
-        patch = unittest.mock.patch.object(store, "CALL_SECONDS", 0.1)
+        patch = unittest.mock.patch.object(store, "CALL_TIMEOUT", 0.1)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -48,14 +48,14 @@
         self.assertEqual(page.end, 2 * emulated.PAGE_ITEMS)
 
     async def test_append_and_long_read(self):
-        reading = asyncio.create_task(self.store.read_on(TOPIC, 0, 5.0))
+        reading = asyncio.create_task(self.store.read_from(TOPIC, 0, 5.0))
         await asyncio.sleep(0.01)
         await self.store.append(TOPIC, store.Record("k", b"v"))
         page = await reading
         self.assertEqual(page, store.Page((store.Record("k", b"v"),), 1))
 
     async def test_read_without_new_records(self):
-        page = await self.store.read_on(TOPIC, 0, 0.01)
+        page = await self.store.read_from(TOPIC, 0, 0.01)
         self.assertEqual(page, store.Page((), 0))
 
     async def test_outcomes(self):
@@ -69,7 +69,7 @@
         self.fault()
         self.emulated.put(TOPIC, "k", b"v")
         self.emulated.find(TOPIC).compact()
-        outcome = await self.find_outcome(self.store.read_on(TOPIC, 0, 0.0))
+        outcome = await self.find_outcome(self.store.read_from(TOPIC, 0, 0.0))
         self.assertIs(outcome, store.Outcome.GONE)
 
     async def test_append_whose_answer_is_lost(self):
@@ -88,7 +88,7 @@
         """Another program writes bytes that are no record of a keyed topic."""
         self.emulated.find(TOPIC).records.extend([b"", b"\x09k", b"\x01\xff1"])
         self.emulated.put(TOPIC, "k", b"v")
-        page = await self.store.read_on(TOPIC, 0, 0.0)
+        page = await self.store.read_from(TOPIC, 0, 0.0)
         self.assertEqual(page, store.Page((store.Record("k", b"v", 3),), 4, 3))
 
 
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -33,7 +33,7 @@
         self.calls.append(request)
         answer = self.answers.pop(0) if self.answers else DONE
         outcome, reason, offered, *status = answer
-        made = Answer(request.attempt, outcome, reason, offered=offered)
+        made = Answer(request.attempt, outcome, reason, reached_backend=offered)
         return made._replace(status=status[0]) if status else made
 
 
--- a/test/test_retries.py
+++ b/test/test_retries.py
@@ -64,7 +64,7 @@
         If each hop retried, the last service would receive dozens of calls for each
         request, and users would wait for all of them.
         """
-        self.assertFalse(decide(answer=REFUSED._replace(deeper=True)).again)
+        self.assertFalse(decide(answer=REFUSED._replace(from_downstream=True)).again)
 
     def test_refusal_that_applies_at_every_endpoint_is_not_retried(self):
         for reason in (
--- a/test/test_router.py
+++ b/test/test_router.py
@@ -24,7 +24,7 @@
 
 def complete(request):
     return Answer(
-        request.attempt, Outcome.COMPLETED, unused=request.budget, body=b"whole"
+        request.attempt, Outcome.COMPLETED, unused_retries=request.budget, body=b"whole"
     )
 
 
@@ -35,7 +35,7 @@
             Outcome.NOT_RUN,
             reason,
             status=503,
-            unused=request.budget,
+            unused_retries=request.budget,
             **fields,
         )
 
@@ -148,7 +148,7 @@
         The hop directly above it has already retried. Retries at every hop would
         multiply with the depth of the call graph.
         """
-        await self.route(self.build(refuse(Reason.LEVEL, deeper=True)))
+        await self.route(self.build(refuse(Reason.LEVEL, from_downstream=True)))
         self.assertEqual(1, len(self.mesh.sent))
 
     async def test_payout_with_unknown_outcome_is_not_retried(self):
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -31,7 +31,7 @@
 from .operators import access
 from .operators.store import Store
 
-# Number of connections to the log.
+# Number of connections to the log that are kept open.
 LOG_POOL_SIZE = 4
 
 
--- a/whinwinch/backends/app.py
+++ b/whinwinch/backends/app.py
@@ -28,7 +28,9 @@
         if path.startswith("/services/"):
             return await calls(http, sender)
         if path != ANNOUNCEMENT_PATH:
-            return answers.form_findings(404, [Finding("path", "does not exist")])
+            return answers.build_findings_response(
+                404, [Finding("path", "does not exist")]
+            )
         return _serve_announcement(http, announce, withdraw)
 
     return serve_backend
@@ -39,16 +41,16 @@
         withdraw()
         return HttpResponse(204, "No Content")
     if http.method != "PUT":
-        return answers.form_findings(405, [Finding("method", "must be PUT")])
+        return answers.build_findings_response(405, [Finding("method", "must be PUT")])
     if len(http.body) > MAX_ANNOUNCEMENT_BYTES:
         problem = f"must be at most {MAX_ANNOUNCEMENT_BYTES} bytes"
-        return answers.form_findings(413, [Finding("body", problem)])
+        return answers.build_findings_response(413, [Finding("body", problem)])
     try:
         announce(check_announcement(json.loads(http.body)))
     except ValueError as error:
-        return answers.form_findings(
+        return answers.build_findings_response(
             400, [Finding("body", f"is not valid JSON: {error}")]
         )
     except InputErrors as errors:
-        return answers.form_findings(400, errors.findings)
+        return answers.build_findings_response(400, errors.findings)
     return HttpResponse(204, "No Content")
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -134,7 +134,7 @@
         if decision is None:
             return None
         self._trace_hooks.admission(request, False)
-        answer = self._refuse(request, decision)._replace(deeper=True)
+        answer = self._refuse(request, decision)._replace(from_downstream=True)
         self._trace_hooks.answered(answer)
         return answer
 
@@ -237,18 +237,20 @@
         answer = _build_not_run(request, decision.reason, decision.retry_after)
         if decision.reason is Reason.ABANDONED:
             # The first copy of this duplicate message may be running.
-            answer = answer._replace(outcome=Outcome.UNKNOWN, unused=0)
+            answer = answer._replace(outcome=Outcome.UNKNOWN, unused_retries=0)
         below = self._levels.below(request, self._clock())
         return answer._replace(load=self.load(request)._replace(below=below))
 
 
 def _complete_answer(answer, below, unused):
     """Return an answer with the result of the nested calls and the unused budget."""
-    answer = answer._replace(unused=unused, load=messages.Load(below=below.level))
+    answer = answer._replace(
+        unused_retries=unused, load=messages.Load(below=below.level)
+    )
     if not answer.is_server_error or not below.refused:
         return answer
     return answer._replace(
-        deeper=True, reason=Reason.DEEPER, retry_after=below.retry_after
+        from_downstream=True, reason=Reason.DEEPER, retry_after=below.retry_after
     )
 
 
@@ -272,6 +274,6 @@
         reported.outcome,
         reported.reason,
         status=503,
-        unused=request.budget,
+        unused_retries=request.budget,
         retry_after=verdict.retry_after,
     )
--- a/whinwinch/backends/guard.py
+++ b/whinwinch/backends/guard.py
@@ -151,7 +151,7 @@
         now = self._loop.time()
         if request.again:
             return self._repeat_budget.try_spend(request, now)
-        if request.of_repeat:
+        if request.parent_is_repeat:
             self._repeat_budget.record_nested_repeat(now)
         else:
             self._repeat_budget.record_first_attempt(now)
@@ -200,7 +200,7 @@
                 request.importance,
                 started + sent_timeout,
                 request.due,
-                request.again or request.of_repeat,
+                request.again or request.parent_is_repeat,
             ),
             started,
         )
@@ -263,7 +263,7 @@
 
 
 def _is_unsent(answer):
-    return answer.outcome is Outcome.NOT_RUN and not answer.offered
+    return answer.outcome is Outcome.NOT_RUN and not answer.reached_backend
 
 
 def _build_not_run(request, reason, retry_after=0.0):
@@ -272,4 +272,4 @@
 
 def _build_unknown(request, reason, status):
     answer = build_failure(request, Outcome.UNKNOWN, reason, status)
-    return answer._replace(offered=True)
+    return answer._replace(reached_backend=True)
--- a/whinwinch/callers/answers.py
+++ b/whinwinch/callers/answers.py
@@ -136,7 +136,7 @@
     return _build_response(choose_status(answer), pairs, body)
 
 
-def form_findings(status, findings, identifier=""):
+def build_findings_response(status, findings, identifier=""):
     """Return the `HttpResponse` that lists all findings about an invalid request."""
     pairs = [
         ("X-Request-Id", identifier),
@@ -149,7 +149,7 @@
 
 def build_malformed_response(status):
     """Return the `HttpResponse` to a malformed HTTP request."""
-    return form_findings(status, [MALFORMED_FINDINGS[status]])
+    return build_findings_response(status, [MALFORMED_FINDINGS[status]])
 
 
 def build_text_response(status, text):
--- a/whinwinch/callers/app.py
+++ b/whinwinch/callers/app.py
@@ -25,7 +25,9 @@
         incoming = parsed.incoming
         if parsed.findings:
             count_event("bad-request")
-            return answers.form_findings(400, parsed.findings, incoming.identifier)
+            return answers.build_findings_response(
+                400, parsed.findings, incoming.identifier
+            )
         if count_in_flight() >= max_in_flight:
             count_event("too-many-requests")
             return answers.build_response(_refuse_excess(incoming))
--- a/whinwinch/callers/headers.py
+++ b/whinwinch/callers/headers.py
@@ -12,9 +12,9 @@
 IDENTIFIER = re.compile(r"[A-Za-z0-9._:-]{1,128}\Z")
 SERVICE = re.compile(r"[a-z0-9][a-z0-9-]{0,62}\Z")
 URGENCY = re.compile(r"(?:^|,)\s*u\s*=\s*([0-7])\s*(?=,|;|$)")
-LONGEST_CALLER = 64
-LONGEST_TIMEOUT = 3_600_000
-LONGEST_KEY = 128
+MAX_CALLER_LENGTH = 64
+MAX_TIMEOUT_MS = 3_600_000
+MAX_KEY_LENGTH = 128
 
 # Importance by urgency. RFC 9218 defines urgency from 0, the most urgent, to 7; 3 is
 # its default.
@@ -129,9 +129,9 @@
             Finding("Whinwinch-Timeout", "must be a positive integer of milliseconds")
         )
         return None
-    if len(text) > 7 or int(text) > LONGEST_TIMEOUT:
+    if len(text) > 7 or int(text) > MAX_TIMEOUT_MS:
         findings.append(
-            Finding("Whinwinch-Timeout", f"must be at most {LONGEST_TIMEOUT}")
+            Finding("Whinwinch-Timeout", f"must be at most {MAX_TIMEOUT_MS}")
         )
         return None
     return int(text) / 1000
@@ -139,15 +139,15 @@
 
 def _read_key(quoted, findings):
     text = quoted.strip('"')
-    if len(text) > LONGEST_KEY:
+    if len(text) > MAX_KEY_LENGTH:
         findings.append(
-            Finding("Idempotency-Key", f"must have at most {LONGEST_KEY} characters")
+            Finding("Idempotency-Key", f"must have at most {MAX_KEY_LENGTH} characters")
         )
     return text
 
 
 def _read_caller(text, address, findings):
-    if len(text) > LONGEST_CALLER or not text.isprintable():
+    if len(text) > MAX_CALLER_LENGTH or not text.isprintable():
         findings.append(
             Finding("Whinwinch-Caller", "must have at most 64 printable characters")
         )
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -84,7 +84,7 @@
             )
             answer = await self._send(attempt, choice)
             may_have_run |= answer.outcome is Outcome.UNKNOWN
-            offered += answer.offered or answer.outcome is Outcome.UNKNOWN
+            offered += answer.reached_backend or answer.outcome is Outcome.UNKNOWN
             tries += 1
             if answer.outcome is Outcome.COMPLETED:
                 self._log_server_error(attempt, answer, choice.endpoint)
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -311,7 +311,7 @@
             root=parent.run.request.root,
             due=parent.due,
             via=(self.guard.backend.service if self.guard.backend else "",),
-            of_repeat=parent.run.request.is_repeat,
+            parent_is_repeat=parent.run.request.is_repeat,
         )
 
     def _apply_frame(self, address, news):
--- a/whinwinch/messages.py
+++ b/whinwinch/messages.py
@@ -94,8 +94,8 @@
             server, so that this attempt counts against the budget of repeats.
         due: Time of the event loop's clock by which the root request should be
             answered to meet its objective; infinite if it has no objective.
-        of_repeat: Whether the attempt that makes this call is itself a repeat, so
-            that the call counts as a repeat too.
+        parent_is_repeat: Whether the attempt that makes this call is itself a repeat,
+            so that the call counts as a repeat too.
     """
 
     attempt: str
@@ -115,7 +115,7 @@
     body: bytes = b""
     again: bool = False
     due: float = math.inf
-    of_repeat: bool = False
+    parent_is_repeat: bool = False
 
 
 class Load(NamedTuple):
@@ -148,13 +148,13 @@
         status: HTTP status for the caller.
         headers: Pairs of header name and value.
         body: The complete body.
-        unused: Number of retries granted to the attempt but not spent.
+        unused_retries: Number of retries granted to the attempt but not spent.
         retry_after: Seconds after which the caller may retry; 0 for no hint.
-        deeper: Whether the refusal came from further down the call graph; upstream
-            daemons then pass it on instead of retrying.
+        from_downstream: Whether the refusal came from further down the call graph;
+            upstream daemons then pass it on instead of retrying.
         load: Load of the answering daemon.
-        offered: Whether the attempt reached a backend server, even if that refused
-            it.
+        reached_backend: Whether the attempt reached a backend server, even if that
+            refused it.
     """
 
     attempt: str
@@ -163,11 +163,11 @@
     status: int = 200
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
-    unused: int = 0
+    unused_retries: int = 0
     retry_after: float = 0.0
-    deeper: bool = False
+    from_downstream: bool = False
     load: Load = Load()
-    offered: bool = False
+    reached_backend: bool = False
 
     @property
     def is_server_error(self):
@@ -221,7 +221,7 @@
         outcome,
         reason,
         status=status,
-        unused=unused,
+        unused_retries=unused,
         retry_after=retry_after,
     )
 
--- a/whinwinch/placement.py
+++ b/whinwinch/placement.py
@@ -316,7 +316,7 @@
         return baseline
 
     def _record_refusal(self, record, answer, now):
-        if answer.deeper:
+        if answer.from_downstream:
             return
         if answer.reason is messages.Reason.NOT_SENT:
             record.answers += 1
@@ -438,7 +438,7 @@
 
 def is_failure(answer):
     """Return whether an answer shows that the endpoint itself failed."""
-    if answer.deeper:
+    if answer.from_downstream:
         return False
     if answer.outcome is messages.Outcome.UNKNOWN:
         return True
--- a/whinwinch/platform/dialect.py
+++ b/whinwinch/platform/dialect.py
@@ -148,7 +148,7 @@
         status=response.status,
         headers=(("", response.phrase), *drop_headers(response.headers)),
         body=response.body,
-        offered=True,
+        reached_backend=True,
     )
 
 
@@ -186,4 +186,6 @@
 
 
 def _fail(request, outcome, reason, status):
-    return build_failure(request, outcome, reason, status)._replace(offered=True)
+    return build_failure(request, outcome, reason, status)._replace(
+        reached_backend=True
+    )
--- a/whinwinch/platform/followers.py
+++ b/whinwinch/platform/followers.py
@@ -50,7 +50,7 @@
                 following.copy.take_newest(page.records, page.end)
             else:
                 start = following.copy.end
-                page = await store.read_on(topic, start, wait)
+                page = await store.read_from(topic, start, wait)
                 following.copy.take(page.records, start, page.end)
         except StoreError as error:
             is_gone = error.outcome is Outcome.GONE
--- a/whinwinch/platform/store.py
+++ b/whinwinch/platform/store.py
@@ -14,7 +14,7 @@
 
 # Timeout of a call in seconds. An answer takes some milliseconds; the store may be
 # fifty times slower.
-CALL_SECONDS = 1.5
+CALL_TIMEOUT = 1.5
 # Seconds that a read's answer may take beyond the read's wait. Together with the
 # longest wait this is the time until a stalled connection is dropped; a longer wait
 # needs fewer calls.
@@ -100,7 +100,7 @@
                 return Page(tuple(records), end, skipped)
             after = items[-1]["key"]
 
-    async def read_on(self, topic, offset, wait):
+    async def read_from(self, topic, offset, wait):
         """Return the `Page` of the records from an offset on.
 
         Args:
@@ -145,7 +145,7 @@
         """Close all connections to the store."""
         self._pool.close()
 
-    async def _call(self, method, name, query, body=b"", seconds=CALL_SECONDS):
+    async def _call(self, method, name, query, body=b"", seconds=CALL_TIMEOUT):
         try:
             data = await self._exchange(method, name, query, body, seconds)
         except StoreError as error:
--- a/whinwinch/retries.py
+++ b/whinwinch/retries.py
@@ -123,7 +123,7 @@
     # The hop directly above the refusing service has already retried or given up.
     # Retrying at this hop as well would multiply retries by the depth of the chain,
     # and the deepest service would receive many times the root's number.
-    if answer.deeper or answer.reason is Reason.DEEPER:
+    if answer.from_downstream or answer.reason is Reason.DEEPER:
         return "refused further down the call graph"
     # The request may have run. The claim of a second attempt would be refused, but if
     # that check ever failed, a retry would run non-idempotent work such as a payment
--- a/whinwinch/router.py
+++ b/whinwinch/router.py
@@ -323,7 +323,7 @@
         Returns:
             A `retries.RetryDecision`.
         """
-        self._ledger.return_unused(attempt.attempt, answer.unused)
+        self._ledger.return_unused(attempt.attempt, answer.unused_retries)
         remaining = self._ledger.get_remaining(budget_holder)
         decision = retries.decide_retry(
             attempt, answer, remaining, tries - 1, self._clock(), self._random
@@ -334,7 +334,7 @@
 
     def _log_answer(self, attempt, answer, choice, again, ground):
         """Log the decision after an answer, unless it completed the request."""
-        if answer.outcome is Outcome.COMPLETED and not answer.deeper:
+        if answer.outcome is Outcome.COMPLETED and not answer.from_downstream:
             return
         time_left = attempt.deadline - self._clock()
         decisions.log_answer(attempt, answer, choice.endpoint, time_left, again, ground)
--- a/whinwinch/running.py
+++ b/whinwinch/running.py
@@ -57,7 +57,7 @@
 
 
 def _add_answer(nested_calls, answer):
-    refused = answer.outcome is not messages.Outcome.COMPLETED or answer.deeper
+    refused = answer.outcome is not messages.Outcome.COMPLETED or answer.from_downstream
     return NestedCalls(
         calls=nested_calls.calls + 1,
         level=max(nested_calls.level, answer.load.level, answer.load.below),
