--- a/test/daemons/test_links.py
+++ b/test/daemons/test_links.py
@@ -177,7 +177,7 @@
         """A switch resets connections; operators must see which, and for how long."""
         written = unittest.mock.Mock(lost=0)
         events.install(written)
-        self.addCleanup(events.install, events.Silence())
+        self.addCleanup(events.install, events.NullLog())
         await self.peer.call(build_request(1))
         self.hold.clear()
         pending = asyncio.create_task(self.peer.call(build_request(2)))
--- a/test/emulator/test_fleet.py
+++ b/test/emulator/test_fleet.py
@@ -16,7 +16,9 @@
             pages = [f"{given.daemons.host}:{given.metrics}" for given in settings]
             await running.kill(running.find("front")[0])
             entry = running.find("front")[1].callers
-            looking = asyncio.create_task(asyncio.to_thread(fleet.look, pages, 1.5))
+            looking = asyncio.create_task(
+                asyncio.to_thread(fleet.measure_fleet, pages, 1.5)
+            )
             await asyncio.gather(*(caller.ask(entry, BROWSE) for _ in range(6)))
             found = await looking
         self.assertEqual(len(found.unreachable), 1)
--- a/test/operators/test_api.py
+++ b/test/operators/test_api.py
@@ -37,10 +37,10 @@
 
     def start_daemon(self, store):
         """Serve the API for a store and return its URL."""
-        parts = api.Parts(
+        parts = api.Dependencies(
             store,
             access.parse_operators(self.operators),
-            find_status=lambda: {"daemon": "d1"},
+            get_status=lambda: {"daemon": "d1"},
             begin_drain=lambda: self.drained.append(store),
             max_key_window=900,
             max_watchers=1,
--- a/test/platform/test_followers.py
+++ b/test/platform/test_followers.py
@@ -52,7 +52,7 @@
         self.log, self.applied = RecordingLog(), []
         self.store = ScriptedStore(*answers)
         events.install(self.log)
-        self.addCleanup(events.install, events.Silence())
+        self.addCleanup(events.install, events.NullLog())
         following = keyed.Following(keyed.Copy(self.applied.extend), 1.0)
         task = asyncio.create_task(
             followers.follow_topic(
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -168,7 +168,7 @@
         """A payout fails with status 500; its caller knows only the identifier."""
         log = unittest.mock.Mock(lost=0)
         events.install(log)
-        self.addCleanup(events.install, events.Silence())
+        self.addCleanup(events.install, events.NullLog())
         answer = await self.build([FAILED]).serve(self.request(), 2)
         self.assertEqual(answer.status, 500)
         ((kind, line),) = [call.args for call in log.sample.call_args_list]
--- a/test/test_metrics.py
+++ b/test/test_metrics.py
@@ -59,9 +59,9 @@
         """
         parts = (Importance.LOW, Outcome.NOT_RUN, Reason.LEVEL, 0.0001, 0)
         for _ in range(99):
-            self.metrics.note_call("archive", *parts)
+            self.metrics.record_call("archive", *parts)
         parts = (Importance.LOW, Outcome.COMPLETED, Reason.NONE, 2.0, 3)
-        self.metrics.note_call("archive", *parts)
+        self.metrics.record_call("archive", *parts)
         text = self.metrics.render_metrics()
         count = 'latency_seconds_count{importance="low",service="archive"} 1.0\n'
         self.assertIn(count, text)
@@ -71,7 +71,7 @@
     def test_names_without_endpoints_do_not_use_up_the_bound(self):
         parts = (Importance.LOW, Outcome.NOT_RUN, Reason.NO_ENDPOINT, 0.0001, 0)
         for number in range(2 * metrics.MAX_SERVICES):
-            self.metrics.note_call(f"s{number}", *parts)
+            self.metrics.record_call(f"s{number}", *parts)
         self.metrics.count_retry("archive")
         text = self.metrics.render_metrics()
         self.assertIn('retries_total{service="archive"} 1.0\n', text)
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -245,7 +245,7 @@
 
     def record_call(incoming, routed, seconds):
         answer = routed.answer
-        parts.metrics.note_call(
+        parts.metrics.record_call(
             incoming.service,
             routed.importance,
             answer.outcome,
--- a/whinwinch/commands.py
+++ b/whinwinch/commands.py
@@ -248,7 +248,7 @@
         raise UserError("pass the addresses of metrics pages or a file of them")
     if arguments.seconds <= 0.0:
         raise UserError("--seconds must be greater than 0")
-    state = fleet.look(addresses, arguments.seconds)
+    state = fleet.measure_fleet(addresses, arguments.seconds)
     print("\n".join(fleet.render_fleet(state)))
     return EXIT_FAILED if state.unreachable else EXIT_OK
 
--- a/whinwinch/entrances.py
+++ b/whinwinch/entrances.py
@@ -303,10 +303,10 @@
         parts.loop.call_soon_threadsafe(parts.control.begin_leaving)
 
     return api.create_application(
-        api.Parts(
+        api.Dependencies(
             store=parts.store,
             operators=operators,
-            find_status=find_status_from_thread,
+            get_status=find_status_from_thread,
             begin_drain=begin_drain,
             render_metrics=parts.metrics.render_metrics,
             max_key_window=parts.settings.key_window,
--- a/whinwinch/events.py
+++ b/whinwinch/events.py
@@ -110,7 +110,7 @@
             self._rest = self._rest[: self._rest.index(b"\n") + 1]
 
 
-class Silence:
+class NullLog:
     """Log that drops all events, for tests and tools."""
 
     lost = 0
@@ -149,7 +149,7 @@
 class LogHolder:
     """Holder of the process-wide log that `write` and `sample` use."""
 
-    log = Silence()
+    log = NullLog()
 
 
 def install(log):
--- a/whinwinch/fleet.py
+++ b/whinwinch/fleet.py
@@ -118,7 +118,7 @@
     unreachable: tuple[str, ...]
 
 
-def look(addresses, seconds):
+def measure_fleet(addresses, seconds):
     """Read all metrics pages twice and return the `Fleet`.
 
     Args:
--- a/whinwinch/metrics.py
+++ b/whinwinch/metrics.py
@@ -116,7 +116,7 @@
         self._counters = {}
         self._list_gauges = list_gauges
 
-    def note_call(self, service, importance, outcome, reason, seconds, retries):
+    def record_call(self, service, importance, outcome, reason, seconds, retries):
         """Record the end of a call in all metrics that it affects.
 
         Only completed calls count towards latency: refusals are quick and would
--- a/whinwinch/operators/api.py
+++ b/whinwinch/operators/api.py
@@ -30,72 +30,72 @@
 WATCH_RETRY_AFTER = 5
 
 
-class Parts(NamedTuple):
+class Dependencies(NamedTuple):
     """Dependencies and limits of the API.
 
     Attributes:
         store: The `store.Store`.
         operators: Tuple of `access.Operator`; if empty, the API is closed.
-        find_status: Returns the JSON form of the daemon's status.
+        get_status: Returns the JSON form of the daemon's status.
         begin_drain: Starts draining the daemon and its backend server; called
             from a request thread, returns immediately. None if unsupported.
         render_metrics: Returns the metrics as text.
         max_key_window: Maximum key window of a resource in seconds.
         max_watchers: Maximum number of concurrent watches.
-        write_time: Returns the wall-clock time as text, for the history.
+        format_time: Returns the wall-clock time as text, for the history.
         clock: Returns the time in seconds, for the timeouts of watches.
         propose_timeout: Seconds for which a request waits for the log.
     """
 
     store: store.Store
     operators: tuple[access.Operator, ...]
-    find_status: Callable[[], Any] = dict
+    get_status: Callable[[], Any] = dict
     begin_drain: Callable[[], Any] | None = None
     render_metrics: Callable[[], str] = str
     max_key_window: float = resources.MAX_KEY_WINDOW
     max_watchers: int = watch.DEFAULT_MAX_WATCHERS
-    write_time: Callable[[], str] = lambda: clocks.strftime(
+    format_time: Callable[[], str] = lambda: clocks.strftime(
         "%Y-%m-%dT%H:%M:%SZ", clocks.gmtime()
     )
     clock: Callable[[], float] = clocks.monotonic
     propose_timeout: float = PROPOSE_TIMEOUT
 
 
-def create_application(parts):
+def create_application(dependencies):
     """Return the application that serves the resource API at `forms.MOUNT`.
 
     Args:
-        parts: `Parts`.
+        dependencies: `Dependencies`.
 
     Returns:
         A `cherrypy.Application`.
     """
     config = {
         "/": {
-            "request.dispatch": _create_dispatcher(parts.operators),
+            "request.dispatch": _create_dispatcher(dependencies.operators),
             # The handlers read the bodies themselves to enforce a size limit.
             "request.process_request_body": False,
             "request.show_tracebacks": False,
         }
     }
-    application = cherrypy.Application(_Root(parts), forms.MOUNT, config)
+    application = cherrypy.Application(_Root(dependencies), forms.MOUNT, config)
     # Changes are logged separately, with their author and decision.
     application.log.access_log.propagate = False
     return application
 
 
 class _Root:
-    def __init__(self, parts):
-        self.v1 = _Version(parts)
+    def __init__(self, dependencies):
+        self.v1 = _Version(dependencies)
 
 
 class _Version:
-    def __init__(self, parts):
-        self.services = _Services(parts)
-        self.history = _History(parts)
-        self.status = _Status(parts)
-        self.metrics = _Metrics(parts)
-        self.drain = _Drain(parts)
+    def __init__(self, dependencies):
+        self.services = _Services(dependencies)
+        self.history = _History(dependencies)
+        self.status = _Status(dependencies)
+        self.metrics = _Metrics(dependencies)
+        self.drain = _Drain(dependencies)
 
 
 class _Services:
@@ -103,10 +103,10 @@
 
     exposed = True
 
-    def __init__(self, parts):
-        self._parts = parts
-        self._store = parts.store
-        self._watchers = watch.Watchers(parts.max_watchers)
+    def __init__(self, dependencies):
+        self._dependencies = dependencies
+        self._store = dependencies.store
+        self._watchers = watch.Watchers(dependencies.max_watchers)
 
     def GET(self, name=None, **query):
         """Return one service, the list of all services, or a watch stream."""
@@ -124,7 +124,7 @@
         _require_ready(self._store)
         inputs.check_query(query, ())
         document = inputs.read_body()
-        body = inputs.check_document(document, name, self._parts.max_key_window)
+        body = inputs.check_document(document, name, self._dependencies.max_key_window)
         present = self._find_service(name)
         condition = inputs.read_condition(present)
         verdict = self._propose(name, body, condition, present)
@@ -180,7 +180,7 @@
         response = cherrypy.serving.response
         response.stream = True
         response.headers["Content-Type"] = JSON_LINES_TYPE
-        return watch.stream_changes(self._store, wanted, self._parts.clock)
+        return watch.stream_changes(self._store, wanted, self._dependencies.clock)
 
     def _propose(self, name, body, replaces, present):
         """Propose a change and return its verdict if it was accepted."""
@@ -192,7 +192,7 @@
             replaces=replaces,
             body=body,
             author=author,
-            made=self._parts.write_time(),
+            made=self._dependencies.format_time(),
         )
         verdict = self._store.find_verdict(change)
         if verdict is None and body is None and not replaces:
@@ -200,7 +200,7 @@
         if verdict is None and present is not None and 0 < replaces < present.version:
             raise problems.describe_conflict(name, present)
         if verdict is None:
-            verdict = self._store.propose(change, self._parts.propose_timeout)
+            verdict = self._store.propose(change, self._dependencies.propose_timeout)
         logging.info(
             "change=%s service=%s author=%s replaces=%d decision=%s version=%d",
             change.change_id,
@@ -224,8 +224,8 @@
 
     exposed = True
 
-    def __init__(self, parts):
-        self._store = parts.store
+    def __init__(self, dependencies):
+        self._store = dependencies.store
 
     def GET(self, **query):
         """Return the changes that this daemon has read, newest first."""
@@ -248,13 +248,13 @@
 
     exposed = True
 
-    def __init__(self, parts):
-        self._find_status = parts.find_status
+    def __init__(self, dependencies):
+        self._get_status = dependencies.get_status
 
     def GET(self, **query):
         """Return the status of this daemon."""
         inputs.check_query(query, ())
-        return _encode(self._find_status())
+        return _encode(self._get_status())
 
 
 class _Drain:
@@ -262,20 +262,20 @@
 
     exposed = True
 
-    def __init__(self, parts):
-        self._parts = parts
+    def __init__(self, dependencies):
+        self._dependencies = dependencies
 
     def POST(self, **query):
         """Start draining and return the status; idempotent."""
         inputs.check_query(query, ())
-        if self._parts.begin_drain is None:
+        if self._dependencies.begin_drain is None:
             raise ApiError(
                 501, "no-drain", "this daemon cannot be drained through the API"
             )
         logging.info("drain author=%s", cherrypy.serving.request.login)
-        self._parts.begin_drain()
+        self._dependencies.begin_drain()
         cherrypy.serving.response.status = 202
-        return _encode(self._parts.find_status())
+        return _encode(self._dependencies.get_status())
 
 
 class _Metrics:
@@ -283,8 +283,8 @@
 
     exposed = True
 
-    def __init__(self, parts):
-        self._render_metrics = parts.render_metrics
+    def __init__(self, dependencies):
+        self._render_metrics = dependencies.render_metrics
 
     def GET(self, **query):
         """Return the metrics as text."""
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -250,7 +250,7 @@
             request, route, now + arrival.seconds, sender.connection
         )
         seconds = asyncio.get_running_loop().time() - now
-        self._metrics.note_call(
+        self._metrics.record_call(
             route.name, route.importance, answer.outcome, answer.reason, seconds, 0
         )
         return dialect.build_response(answer, request.root)
