--- a/whinwinch/commands.py
+++ b/whinwinch/commands.py
@@ -69,7 +69,7 @@
 
 
 def _add_daemon(commands):
-    # Imported lazily to keep the operators' commands fast to start.
+    # Imported lazily: operators' commands need none of what a daemon needs.
     from . import settings
 
     parser = commands.add_parser(
--- a/whinwinch/fleet.py
+++ b/whinwinch/fleet.py
@@ -12,7 +12,8 @@
 from .metrics import PREFIX
 
 PATH = "/metrics"
-# Seconds after which a daemon counts as unreachable.
+# Seconds after which a daemon counts as unreachable. A slower daemon is no more useful
+# to an operator who looks for a fault.
 FETCH_TIMEOUT = 3.0
 # Maximum number of concurrent requests.
 MAX_CONCURRENT_FETCHES = 32
--- a/whinwinch/metrics.py
+++ b/whinwinch/metrics.py
@@ -26,7 +26,7 @@
     "events_total": "Requests that were not routed.",
     "sent_bytes_total": "Bytes sent to other daemons, by kind of message and zone.",
     "sent_messages_total": "Messages sent to other daemons, by kind and zone.",
-    "refusals_total": "Requests refused before execution, by place and reason.",
+    "refusals_total": "Requests refused before execution, at entry or gatekeeper.",
     "store_calls_total": "Calls to the platform's store by result.",
     "backend": "The local backend server: its service, zone and state; always 1.",
     "slots": "Slots for concurrent requests that the local backend server reports.",
--- a/whinwinch/operators/store.py
+++ b/whinwinch/operators/store.py
@@ -328,8 +328,8 @@
             timeout: Maximum time to wait in seconds.
 
         Returns:
-            A tuple of `configuration.Event`, oldest first; empty after the
-            timeout or once the store is closed.
+            A tuple of `configuration.Event`, oldest first; empty if there
+            are none when the timeout expires or the store is closed.
 
         Raises:
             VersionTooOld: If some change after the version is no longer stored.
