--- a/test/backends/test_gatekeeper.py
+++ b/test/backends/test_gatekeeper.py
@@ -59,7 +59,7 @@
         start_time = asyncio.get_running_loop().time()
         self.verdict = ClaimVerdict(Verdict.WON)
         self.ended = []
-        self.takes_work = True
+        self.accepts_work = True
         self.running = running.RunningAttempts()
         self.ledger = retries.Ledger()
         self.levels = levels.LearnedLevels()
@@ -76,7 +76,7 @@
             ledger=self.ledger,
             levels=self.levels,
             running=self.running,
-            takes_work=lambda: self.takes_work,
+            accepts_work=lambda: self.accepts_work,
             max_body=1000,
             find_service=resources.default_service,
         )
@@ -93,7 +93,7 @@
     async def test_a_whole_answer_returns_the_unused_budget(self):
         answer = await self.gatekeeper.serve(build_request())
         self.assertEqual(Outcome.COMPLETED, answer.outcome)
-        self.assertEqual(3, answer.unused)
+        self.assertEqual(3, answer.unused_retries)
         self.assertEqual(0, self.gatekeeper.load().in_service)
 
     async def test_work_claimed_by_another_attempt_is_not_run(self):
@@ -151,11 +151,11 @@
         self.assertEqual(["a1"], self.client.ran)
 
     async def test_a_leaving_daemon_refuses_at_once_as_not_run(self):
-        self.takes_work = False
+        self.accepts_work = False
         answer = await self.gatekeeper.serve(build_request())
         self.assertEqual(Outcome.NOT_RUN, answer.outcome)
         self.assertEqual(Reason.LEAVING, answer.reason)
-        self.assertEqual(3, answer.unused)
+        self.assertEqual(3, answer.unused_retries)
 
     async def test_no_work_is_admitted_without_a_backend_server(self):
         self.gatekeeper.install(None)
@@ -185,7 +185,7 @@
 
         self.client.answer = fail_below
         answer = await self.gatekeeper.serve(build_request())
-        self.assertTrue(answer.deeper)
+        self.assertTrue(answer.from_downstream)
         self.assertEqual(2.0, answer.retry_after)
 
     async def test_a_request_whose_nested_call_would_be_refused_occupies_no_slot(self):
@@ -210,7 +210,7 @@
         )
         self.assertEqual(ran, len(self.client.ran))
         self.assertEqual(Reason.LEVEL, answer.reason)
-        self.assertTrue(answer.deeper)
+        self.assertTrue(answer.from_downstream)
         self.assertGreater(answer.load.below, 0.0)
 
     async def test_requests_that_rarely_make_nested_calls_are_not_refused(self):
@@ -300,7 +300,7 @@
         waiting.cancel()
         await asyncio.wait([*tasks, waiting])
         self.assertEqual(0, self.gatekeeper.load().in_service)
-        self.assertTrue(self.gatekeeper.has_room())
+        self.assertTrue(self.gatekeeper.has_free_slot())
 
     async def test_claimed_work_completes_although_its_caller_disconnects(self):
         """Guards against cancelling a payout when its caller disconnects.
@@ -328,11 +328,11 @@
 
     async def test_a_full_endpoint_has_no_free_slot_until_an_answer_is_sent(self):
         tasks, leave = await self.occupy_all_slots()
-        self.assertFalse(self.gatekeeper.has_room())
+        self.assertFalse(self.gatekeeper.has_free_slot())
         leave.set()
         answers = await asyncio.gather(*tasks)
         self.assertEqual([Outcome.COMPLETED] * 4, [one.outcome for one in answers])
-        self.assertTrue(self.gatekeeper.has_room())
+        self.assertTrue(self.gatekeeper.has_free_slot())
 
 
 if __name__ == "__main__":
--- a/test/platform/test_followers.py
+++ b/test/platform/test_followers.py
@@ -34,7 +34,7 @@
     async def read_newest(self, topic):
         return await self._answer(("newest", topic))
 
-    async def read_on(self, topic, offset, wait):
+    async def read_from(self, topic, offset, wait):
         return await self._answer(("on", topic, offset))
 
     async def _answer(self, read):
@@ -52,15 +52,15 @@
         self.log, self.applied = RecordingLog(), []
         self.store = ScriptedStore(*answers)
         events.install(self.log)
-        self.addCleanup(events.install, events.Silence())
-        following = keyed.Following(keyed.Copy(self.applied.extend), 1.0)
+        self.addCleanup(events.install, events.NullLog())
+        following = keyed.FollowedTopic(keyed.TopicCopy(self.applied.extend), 1.0)
         task = asyncio.create_task(
             followers.follow_topic(
                 self.store,
                 "keyed.op",
                 following,
                 lambda: True,
-                lambda topic, end, now: following.note_read(end, now),
+                lambda topic, end, now: following.record_read(end, now),
             )
         )
         async with asyncio.timeout(5.0):
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -23,7 +23,7 @@
     """A peer whose daemon returns scripted answers."""
 
     is_up = True
-    reach = subsets.Reachability.UP
+    reachability = subsets.Reachability.UP
 
     def __init__(self, answers):
         self.answers = answers
@@ -33,7 +33,7 @@
         self.calls.append(request)
         answer = self.answers.pop(0) if self.answers else DONE
         outcome, reason, offered, *status = answer
-        made = Answer(request.attempt, outcome, reason, offered=offered)
+        made = Answer(request.attempt, outcome, reason, reached_backend=offered)
         return made._replace(status=status[0]) if status else made
 
 
@@ -46,7 +46,7 @@
 class FakeGuard:
     """A guard whose backend server belongs to another service."""
 
-    def has_room(self, service):
+    def has_free_slot(self, service):
         return False
 
 
@@ -168,7 +168,7 @@
         """A payout fails with status 500; its caller knows only the identifier."""
         log = unittest.mock.Mock(lost=0)
         events.install(log)
-        self.addCleanup(events.install, events.Silence())
+        self.addCleanup(events.install, events.NullLog())
         answer = await self.build([FAILED]).serve(self.request(), 2)
         self.assertEqual(answer.status, 500)
         ((kind, line),) = [call.args for call in log.sample.call_args_list]
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -27,7 +27,7 @@
         ledger: `retries.Ledger` of the running attempts' retry budgets.
         levels: `levels.LearnedLevels` of the daemon.
         running: `running.RunningAttempts` of the daemon.
-        takes_work: Function that returns whether new work is accepted.
+        accepts_work: Function that returns whether new work is accepted.
         max_body: Maximum size of an answer's body, in bytes.
         find_service: Function from a service name to its `resources.ServiceSpec`.
         trace_hooks: `recording.TraceHooks` that write trace records.
@@ -44,7 +44,7 @@
         ledger,
         levels,
         running,
-        takes_work,
+        accepts_work,
         max_body,
         find_service,
         trace_hooks=recording.NO_TRACE_HOOKS,
@@ -55,7 +55,7 @@
         self._ledger = ledger
         self._levels = levels
         self._running = running
-        self._takes_work = takes_work
+        self._accepts_work = accepts_work
         self._max_body = max_body
         self._find_service = find_service
         self._trace_hooks = trace_hooks
@@ -86,10 +86,10 @@
         else:
             self._slots.open(announcement.slots)
 
-    def has_room(self):
+    def has_free_slot(self):
         """Return whether a request would be admitted immediately."""
-        takes_work = self._client is not None and self._takes_work()
-        return takes_work and self._slots.has_room
+        accepts_work = self._client is not None and self._accepts_work()
+        return accepts_work and self._slots.has_free_slot
 
     def load(self, request=None):
         """Return the `messages.Load` of the backend server as the gate observes it.
@@ -134,13 +134,13 @@
         if decision is None:
             return None
         self._trace_hooks.admission(request, False)
-        answer = self._refuse(request, decision)._replace(deeper=True)
+        answer = self._refuse(request, decision)._replace(from_downstream=True)
         self._trace_hooks.answered(answer)
         return answer
 
     def _find_refusal_reason(self, request, now):
         """Return the `Reason` to refuse a request without asking the gate, or None."""
-        if not self._takes_work():
+        if not self._accepts_work():
             return Reason.LEAVING
         if self._client is None or request.service != self.service:
             return Reason.NO_ENDPOINT
@@ -237,18 +237,20 @@
         answer = _build_not_run(request, decision.reason, decision.retry_after)
         if decision.reason is Reason.ABANDONED:
             # The first copy of this duplicate message may be running.
-            answer = answer._replace(outcome=Outcome.UNKNOWN, unused=0)
+            answer = answer._replace(outcome=Outcome.UNKNOWN, unused_retries=0)
         below = self._levels.below(request, self._clock())
         return answer._replace(load=self.load(request)._replace(below=below))
 
 
 def _complete_answer(answer, below, unused):
     """Return an answer with the result of the nested calls and the unused budget."""
-    answer = answer._replace(unused=unused, load=messages.Load(below=below.level))
+    answer = answer._replace(
+        unused_retries=unused, load=messages.Load(below=below.level)
+    )
     if not answer.is_server_error or not below.refused:
         return answer
     return answer._replace(
-        deeper=True, reason=Reason.DEEPER, retry_after=below.retry_after
+        from_downstream=True, reason=Reason.DEEPER, retry_after=below.retry_after
     )
 
 
@@ -272,6 +274,6 @@
         reported.outcome,
         reported.reason,
         status=503,
-        unused=request.budget,
+        unused_retries=request.budget,
         retry_after=verdict.retry_after,
     )
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -84,7 +84,7 @@
             )
             answer = await self._send(attempt, choice)
             may_have_run |= answer.outcome is Outcome.UNKNOWN
-            offered += answer.offered or answer.outcome is Outcome.UNKNOWN
+            offered += answer.reached_backend or answer.outcome is Outcome.UNKNOWN
             tries += 1
             if answer.outcome is Outcome.COMPLETED:
                 self._log_server_error(attempt, answer, choice.endpoint)
@@ -155,7 +155,7 @@
         """
         local_address = self._local_address
         endpoints = self._find_usable(request.service)
-        if local_address not in tried and self._guard.has_room(request.service):
+        if local_address not in tried and self._guard.has_free_slot(request.service):
             for endpoint in endpoints:
                 if endpoint.address == local_address:
                     return Choice(endpoint, "local endpoint has a free slot")
@@ -173,7 +173,7 @@
     def _find_reach(self, address):
         if address == self._local_address:
             return subsets.Reachability.UP
-        return self._peers.find(address).reach
+        return self._peers.find(address).reachability
 
     def _count_untried(self, service, tried):
         usable = self._find_usable(service)
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -188,7 +188,7 @@
                 CONFIGURATION_TOPIC,
                 self._configuration_following,
                 instance.is_reader,
-                instance.topics.note_read,
+                instance.topics.record_read,
             ),
             functools.partial(
                 followers.follow_topic,
@@ -196,14 +196,14 @@
                 INSTANCES_TOPIC,
                 self._instances_following,
                 instance.is_reader,
-                instance.topics.note_read,
+                instance.topics.record_read,
                 INSTANCES_WAIT,
                 INSTANCES_BATCH_DELAY,
             ),
             self._keep_record,
             self._watch_settings,
-            instance.peers.keep,
-            instance.exchange.keep,
+            instance.peers.check_periodically,
+            instance.exchange.clean_up_periodically,
             instance.report_levels,
             instance.relay_levels,
             instance.report_topology,
@@ -213,7 +213,7 @@
         )
 
     def _follow(self, topic, apply_records, read_timeout):
-        """Return the `keyed.Following` of a topic and share the topic with peers.
+        """Return the `keyed.FollowedTopic` of a topic and share the topic with peers.
 
         Args:
             topic: Name of the topic.
@@ -221,7 +221,7 @@
             read_timeout: Seconds without a report from peers after which this daemon
                 reads the topic itself.
         """
-        following = keyed.Following(keyed.Copy(apply_records), read_timeout)
+        following = keyed.FollowedTopic(keyed.TopicCopy(apply_records), read_timeout)
         self.instance.topics.add(topic, following)
         return following
 
@@ -250,7 +250,7 @@
             request, route, now + arrival.seconds, sender.connection
         )
         seconds = asyncio.get_running_loop().time() - now
-        self._metrics.note_call(
+        self._metrics.record_call(
             route.name, route.importance, answer.outcome, answer.reason, seconds, 0
         )
         return dialect.build_response(answer, request.root)
