--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems: log service, backend server, caller."""
+"""Stand-ins for the external systems: log service, backend servers and callers."""
--- a/standins/announcement.py
+++ b/standins/announcement.py
@@ -1,18 +1,18 @@
-"""The announcement of a stand-in backend server to the daemon beside it."""
+"""Announcement of a stand-in backend server to its daemon."""
 
 import urllib3
 
-ANNOUNCE_INTERVAL = 1.0
-ANNOUNCE_TIMEOUT = 0.8
+ANNOUNCE_INTERVAL = 1.0  # seconds
+ANNOUNCE_TIMEOUT = 0.8  # seconds
 
 
 def announce(settings, address, stopping):
-    """Announce a backend server to its daemon until `stopping`, then withdraw.
+    """Announce a backend server until `stopping` is set, then withdraw it.
 
     Args:
-        settings: `backend.Settings`, whose daemon isn't "".
-        address: `serving.Address` where it serves.
-        stopping: `threading.Event`.
+        settings: `backend.Settings`; its daemon must not be "".
+        address: `serving.Address` that the backend server listens on.
+        stopping: `threading.Event` that ends the announcements.
     """
     http = urllib3.PoolManager(retries=False, timeout=ANNOUNCE_TIMEOUT)
     url = f"{settings.daemon}/announcement"
@@ -31,7 +31,10 @@
 
 
 def send(http, method, url, value=None):
-    """Send to the daemon; one that is away hears the next announcement."""
+    """Send a request to the daemon, ignoring errors.
+
+    A daemon that is unreachable now receives the next announcement.
+    """
     try:
         http.request(method, url, json=value)
     except urllib3.exceptions.HTTPError:
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,30 +1,32 @@
-"""A stand-in backend server, which announces itself to the daemon beside it.
+"""A stand-in backend server, which announces itself to its daemon.
 
-Any path is served, by any method. A request takes a slot for its service time,
-then makes its own outgoing calls, and answers with JSON that says who ran what:
+It serves any path and method. A request occupies a slot for its service time,
+then makes its nested calls. The response is a JSON object that identifies the
+service and the request:
 ``{"service", "address", "path", "marker", "request", "below", "filler"}``, where
-``marker`` echoes the query's and ``below`` holds the answers of the calls made.
+``marker`` is the query's and ``below`` lists the responses of the nested calls.
 
-The query of a request:
+Query parameters of a request:
 
-- ``marker=TEXT``: comes back in the answer, and in every answer below it.
-- ``next=submissions/status,archive``: calls the first with the rest as its own
-  ``next``. A service without a path gets this request's path.
-- ``work=FACTOR``: factor on the service time, here and below.
-- ``size=BYTES``: fills the answer with the marker, over and over.
-- ``direct=1``: calls go straight to the backend servers given by ``--direct``,
-  so that the same chain can be measured without daemons.
+- ``marker=TEXT``: returned in the response, and in those of all nested calls.
+- ``next=submissions/status,archive``: calls the first service and passes the
+  others on as its ``next``. A service without a path gets this request's path.
+- ``work=FACTOR``: factor on the service time, here and in nested calls.
+- ``size=CHARACTERS``: length of the filler, which repeats the marker.
+- ``direct=1``: nested calls bypass the daemons and go to the backend servers
+  listed by ``--direct``, so that a chain can be measured without daemons.
 
-A deadline (``Whinwinch-Timeout``, milliseconds) ends the wait for a slot by 503
-and the service by 504. Outgoing calls carry ``X-Request-Id`` and nothing else.
+When the deadline (``Whinwinch-Timeout``, milliseconds) passes, a request that
+waits for a slot gets 503 and one in service 504. ``X-Request-Id`` is the only
+header that is propagated to nested calls.
 
-A run is counted by ``Idempotency-Key`` and by marker (without one by
-``X-Request-Id``) once it holds a slot, whatever becomes of its answer;
-``GET /ran`` lists both counts.
+Each execution is counted by ``Idempotency-Key`` and by marker (or, without a
+marker, by ``X-Request-Id``) as soon as it has a slot, even if its response is
+lost later. ``GET /ran`` returns both counts.
 
-Besides: ``GET /load``, ``GET /health``, ``GET /stats``, ``POST /faults`` (see
-`work.Faults`). On SIGTERM it withdraws its announcement, finishes what it has
-and what still reaches it, and stops.
+Other endpoints: ``GET /load``, ``GET /health``, ``GET /stats`` and ``POST
+/faults`` (see `work.Faults`). On SIGTERM the backend server withdraws its
+announcement, completes the requests that it has or still receives, and stops.
 """
 
 import argparse
@@ -36,31 +38,33 @@
 
 from . import announcement, outgoing, serving, work
 
-# Threads beyond slots and queue, so that /load and /health answer and shedding
-# works while every slot and every place in the queue is taken.
+# Threads in addition to slots and queue, so that /load and /health are answered
+# and requests are shed while all slots and the whole queue are occupied.
 SPARE_THREADS = 16
 
-DRAIN_TIMEOUT = 15.0
-# After the withdrawal a request may still be on its way from the daemon.
-LINGER = 0.3
+DRAIN_TIMEOUT = 15.0  # seconds
+# Seconds for which requests that the daemon sent before it received the withdrawal
+# are still accepted.
+WITHDRAWAL_DELAY = 0.3
 COLD_FACTOR = 4.0
-MAX_PATIENCE = 5.0
-RETRY_AFTER = "1"
+MAX_SLOT_WAIT = 5.0  # seconds
+RETRY_AFTER = "1"  # seconds, as the header's value
 
 
 class Settings(NamedTuple):
-    """How a backend server behaves.
+    """Settings of a stand-in backend server.
 
     Attributes:
         service: Name of the service.
-        slots: Requests in service at once.
-        service_time: Seconds that a request holds its slot for by itself.
-        queue: Requests that may wait for a slot.
-        connections: Connections announced.
-        cold: Seconds of slow service after the start.
-        daemon: URL of the daemon beside it, "" for none.
-        calls: Calls that every request makes.
-        direct: Addresses of backend servers by service.
+        slots: Maximum number of requests in service at once.
+        service_time: Seconds for which a request occupies its slot, without the
+            waiting time.
+        queue: Maximum number of requests that wait for a slot.
+        connections: Maximum number of connections that is announced.
+        cold: Seconds after the start during which the service is slower.
+        daemon: URL of its daemon, "" for none.
+        calls: Nested calls that every request makes.
+        direct: Addresses of backend servers by service name.
     """
 
     service: str
@@ -75,7 +79,7 @@
 
 
 def build_server(address, settings):
-    """Bind a backend server.
+    """Create a backend server that is bound to its address.
 
     Args:
         address: `serving.Address`.
@@ -87,12 +91,18 @@
     load = work.Work(settings.slots, settings.queue)
     threads = settings.slots + settings.queue + SPARE_THREADS
     serve = build_service(settings, load)
-    server = serving.build_server(address, answer_with(load, serve), threads)
+    server = serving.build_server(address, build_handler(load, serve), threads)
     return server, load
 
 
-def answer_with(load, serve):
-    """Return the function that answers all requests to a backend server."""
+def build_handler(load, serve):
+    """Return the request handler of a backend server.
+
+    Args:
+        load: `work.Work`.
+        serve: Function from the WSGI environ to the `serving.Reply` of a request
+            to the service itself.
+    """
 
     def answer(environ):
         at = environ["REQUEST_METHOD"], environ["PATH_INFO"]
@@ -114,7 +124,7 @@
 
 
 def set_faults(load, body):
-    """Set the faults in a body and answer with those that are set now."""
+    """Set the faults in a JSON body and reply with the faults in effect."""
     try:
         load.set_faults(json.loads(body))
     except (ValueError, AttributeError) as error:
@@ -123,7 +133,7 @@
 
 
 def build_service(settings, load):
-    """Return the function that does the service's own work.
+    """Return the function that executes requests to the service.
 
     Args:
         settings: `Settings`.
@@ -137,46 +147,49 @@
     def serve(environ):
         query = serving.read_query(environ)
         serving.read_body(environ)
-        deadline = time.monotonic() + find_time_left(environ)
+        deadline = time.monotonic() + get_remaining_time(environ)
         try:
-            with load.hold_slot(min(find_time_left(environ), MAX_PATIENCE)):
+            with load.hold_slot(min(get_remaining_time(environ), MAX_SLOT_WAIT)):
                 return run(environ, query, deadline - time.monotonic())
         except work.Shed:
             retry = (("Retry-After", RETRY_AFTER),)
             return serving.form_json(503, {"error": "no slot"}, retry)
 
-    def run(environ, query, left):
+    def run(environ, query, remaining):
         request = environ.get("HTTP_X_REQUEST_ID", "")
-        # A daemon gives each attempt an identifier of its own; the marker is
-        # the one that the caller knows, at every hop.
+        # A daemon assigns a new identifier to each attempt; the marker is the
+        # caller's identifier, the same along the whole call chain.
         marker = query.get("marker") or request
         load.count_run(marker, environ.get("HTTP_IDEMPOTENCY_KEY", ""))
         factor = float(query.get("work", 1)) * load.faults["slow"]
-        wanted = find_service_time(factor)
-        time.sleep(max(0.0, min(wanted, left)))
-        if wanted > left:
+        service_time = find_service_time(factor)
+        time.sleep(max(0.0, min(service_time, remaining)))
+        if service_time > remaining:
             return serving.form_json(504, {"error": "deadline"})
         path = environ["PATH_INFO"]
         calls = settings.calls + outgoing.parse_next(query.get("next", ""), path)
         below = [make_call(call, request, query) for call in calls]
-        return spoil(form_reply(settings, path, request, query, below), load)
+        return inject_faults(build_reply(settings, path, request, query, below), load)
 
     return serve
 
 
-def find_time_left(environ):
-    """Return the seconds until nobody wants the answer, infinite without a limit."""
+def get_remaining_time(environ):
+    """Return the seconds until the deadline, infinite when there is none."""
     timeout = environ.get("HTTP_WHINWINCH_TIMEOUT", "")
     return int(timeout) / 1000 if timeout.isdecimal() else math.inf
 
 
-def form_reply(settings, path, request, query, below):
-    """Return the answer to a request that ran, by what came of its calls."""
+def build_reply(settings, path, request, query, below):
+    """Return the reply to a request whose nested calls have ended.
+
+    If one of them failed, the reply is 503 for a 503 and 502 otherwise.
+    """
     failed = next((called for called in below if called.status >= 400), None)
     if failed:
         status = 503 if failed.status == 503 else 502
         retry = (("Retry-After", failed.retry_after),) if failed.retry_after else ()
-        return serving.form_json(status, {"error": "a call below failed"}, retry)
+        return serving.form_json(status, {"error": "a nested call failed"}, retry)
     marker = query.get("marker", "")
     value = {
         "service": settings.service,
@@ -190,33 +203,37 @@
 
 
 def fill(marker, size):
-    """Return `size` characters made of the marker."""
+    """Return `size` characters that repeat the marker."""
     unit = marker or "-"
     return (unit * (size // len(unit) + 1))[:size]
 
 
-def spoil(reply, load):
-    """Apply the faults that are set to an answer."""
-    if load.take_fault("lose_answers"):
+def inject_faults(reply, load):
+    """Apply the faults that are set to a reply."""
+    if load.consume_fault("lose_answers"):
         serving.break_connection()
-    if load.take_fault("errors"):
-        return serving.form_json(500, {"error": "a fault that was set"})
-    if load.take_fault("half"):
+    if load.consume_fault("errors"):
+        return serving.form_json(500, {"error": "injected fault"})
+    if load.consume_fault("half"):
         return reply._replace(part=len(reply.body) // 2)
     return reply
 
 
 def parse_settings(arguments):
-    """Read the command line; return the address and the `Settings`."""
+    """Parse the command line; return the address and the `Settings`."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--address", type=serving.parse_address, required=True)
     parser.add_argument("--service", required=True)
     parser.add_argument("--slots", type=int, required=True)
     parser.add_argument("--service-time", type=float, required=True, help="seconds")
-    parser.add_argument("--queue", type=int, help="places to wait; default: slots")
+    parser.add_argument(
+        "--queue", type=int, help="maximum length of the queue; default: slots"
+    )
     parser.add_argument("--connections", type=int, default=500)
     parser.add_argument("--cold", type=float, default=0.0, help="seconds")
-    parser.add_argument("--daemon", default="", help="URL, as http://127.0.0.1:PORT")
+    parser.add_argument(
+        "--daemon", default="", help="URL, for example http://127.0.0.1:PORT"
+    )
     parser.add_argument("--calls", type=outgoing.parse_calls, default=())
     parser.add_argument("--direct", type=outgoing.parse_direct, default={})
     options = vars(parser.parse_args(arguments))
@@ -227,7 +244,7 @@
 
 
 def main(arguments=None):
-    """Serve until SIGTERM, then drain."""
+    """Serve until SIGTERM or SIGINT, then complete pending requests and stop."""
     address, settings = parse_settings(arguments)
     server, load = build_server(address, settings)
     serving.start_server(server)
@@ -244,7 +261,7 @@
     if settings.daemon:
         announcer.join()
     load.wait_until_idle(DRAIN_TIMEOUT)
-    time.sleep(LINGER)
+    time.sleep(WITHDRAWAL_DELAY)
     load.wait_until_idle(DRAIN_TIMEOUT)
     server.stop()
 
--- a/standins/work.py
+++ b/standins/work.py
@@ -1,4 +1,4 @@
-"""What a stand-in backend server has in hand: slots, queue, runs and faults."""
+"""Slots, queue, execution counts and faults of a stand-in backend server."""
 
 import threading
 import time
@@ -8,15 +8,15 @@
 
 
 class Faults(TypedDict, total=False):
-    """The body of ``POST /faults``; what is left out stays as it is.
+    """Body of ``POST /faults``; faults that are absent stay unchanged.
 
     Attributes:
         slow: Factor on the service time.
-        half: Next answers cut off in the middle of their body.
-        errors: Next requests answered by 500, after they ran.
-        lose_answers: Next requests that run and get no answer at all.
-        load: What ``/load`` says instead of the truth; None for the truth.
-        unhealthy: Whether ``/health`` answers 503.
+        half: Number of next responses that are cut off in the middle of their body.
+        errors: Number of next requests that are executed and answered with 500.
+        lose_answers: Number of next requests that are executed and get no response.
+        load: What ``/load`` returns instead of the actual load; None for the latter.
+        unhealthy: Whether ``/health`` returns 503.
     """
 
     slow: float
@@ -28,18 +28,18 @@
 
 
 class Shed(Exception):
-    """The backend server has no slot and no room to wait for one."""
+    """No slot is free, and the queue is full or the wait timed out."""
 
 
 class Work:
-    """The slots of a backend server and the count of what ran in them."""
+    """Slots and queue of a backend server, with counts of executed requests."""
 
     def __init__(self, slots, queue):
-        """Begin with every slot free.
+        """Create a backend server's state with all slots free.
 
         Args:
-            slots: Requests in service at once.
-            queue: Requests that may wait for a slot.
+            slots: Maximum number of requests in service at once.
+            queue: Maximum number of requests that wait for a slot.
         """
         self.slots = slots
         self.queue = queue
@@ -51,27 +51,27 @@
         self.faults = Faults(
             slow=1.0, half=0, errors=0, lose_answers=0, load=None, unhealthy=False
         )
-        self._freed = threading.Condition()
+        self._slot_freed = threading.Condition()
 
     @contextmanager
-    def hold_slot(self, patience):
-        """Hold a slot, after waiting up to `patience` seconds for one.
+    def hold_slot(self, timeout):
+        """Occupy a slot, after waiting up to `timeout` seconds for one.
 
         Raises:
-            Shed: When the queue is full or no slot was freed in time.
+            Shed: When the queue is full or no slot became free in time.
         """
-        with self._freed:
-            self._enter(patience)
+        with self._slot_freed:
+            self._occupy_slot(timeout)
         try:
             yield
         finally:
-            with self._freed:
+            with self._slot_freed:
                 self.in_service -= 1
                 self.stats["served"] += 1
-                self._freed.notify_all()
+                self._slot_freed.notify_all()
 
-    def _enter(self, patience):
-        if self.in_service >= self.slots and not self._wait(patience):
+    def _occupy_slot(self, timeout):
+        if self.in_service >= self.slots and not self._wait_for_slot(timeout):
             self.stats["shed"] += 1
             raise Shed
         self.in_service += 1
@@ -79,47 +79,49 @@
             self.stats["most_in_service"], self.in_service
         )
 
-    def _wait(self, patience):
+    def _wait_for_slot(self, timeout):
         if self.waiting >= self.queue:
             return False
         self.waiting += 1
         try:
-            return self._freed.wait_for(lambda: self.in_service < self.slots, patience)
+            return self._slot_freed.wait_for(
+                lambda: self.in_service < self.slots, timeout
+            )
         finally:
             self.waiting -= 1
 
-    def wait_until_idle(self, patience):
-        """Wait up to `patience` seconds until nothing is in service or waiting.
+    def wait_until_idle(self, timeout):
+        """Wait up to `timeout` seconds until no request is in service or waiting.
 
         Returns:
-            Whether nothing is.
+            Whether that is so.
         """
-        with self._freed:
-            return self._freed.wait_for(
-                lambda: self.in_service == self.waiting == 0, patience
+        with self._slot_freed:
+            return self._slot_freed.wait_for(
+                lambda: self.in_service == self.waiting == 0, timeout
             )
 
     def count_run(self, request, key):
-        """Note that a request is being run, and its key if it has one."""
-        with self._freed:
+        """Count an execution of a request, and of its key if it has one."""
+        with self._slot_freed:
             self.runs_by_request[request] += 1
             if key:
                 self.runs_by_key[key] += 1
 
     def set_faults(self, faults):
-        """Set the faults named.
+        """Set the given faults.
 
         Raises:
-            ValueError: When there is no fault of some name.
+            ValueError: When a fault name is unknown.
         """
         if unknown := faults.keys() - self.faults.keys():
-            raise ValueError(f"no such faults: {sorted(unknown)}")
-        with self._freed:
+            raise ValueError(f"unknown faults: {sorted(unknown)}")
+        with self._slot_freed:
             self.faults.update(faults)
 
-    def take_fault(self, name):
-        """Use up one of a counted fault; return whether there was one left."""
-        with self._freed:
+    def consume_fault(self, name):
+        """Decrement a counted fault; return whether the fault is to be applied."""
+        with self._slot_freed:
             left = self.faults[name]
             if left <= 0:
                 return False
@@ -127,8 +129,8 @@
             return True
 
     def report_load(self):
-        """Return what ``/load`` answers."""
-        with self._freed:
+        """Return the body of ``/load``: the load, or the one set as a fault."""
+        with self._slot_freed:
             true = {
                 "in_service": self.in_service,
                 "waiting": self.waiting,
@@ -137,8 +139,8 @@
             return self.faults["load"] or true
 
     def report_runs(self):
-        """Return what ``/ran`` answers: runs by key and by request."""
-        with self._freed:
+        """Return the body of ``/ran``: executions by key and by request."""
+        with self._slot_freed:
             return {
                 "keys": dict(self.runs_by_key),
                 "requests": dict(self.runs_by_request),
@@ -146,14 +148,14 @@
 
 
 def build_service_time(seconds, cold, cold_factor):
-    """Return a function that gives the service time of the next request.
+    """Return a function from a factor to the service time of the next request.
 
-    A backend server that has just started is slow until its caches are warm:
-    it begins at `cold_factor` times its service time and comes down evenly.
+    A backend server is slow after its start until its caches are warm: its
+    service time begins at `cold_factor` times the normal one and falls linearly.
 
     Args:
-        seconds: Service time once warm.
-        cold: Seconds until warm, from now.
+        seconds: Service time once the caches are warm.
+        cold: Seconds from now until the caches are warm.
         cold_factor: Factor on the service time at the start.
     """
     started = time.monotonic()
