--- a/standins/backend.py
+++ b/standins/backend.py
@@ -185,7 +185,7 @@
 
     If one of them failed, the reply is 503 for a 503 and 502 otherwise.
     """
-    failed = next((called for called in below if called.status >= 400), None)
+    failed = next((result for result in below if result.status >= 400), None)
     if failed:
         status = 503 if failed.status == 503 else 502
         retry = (("Retry-After", failed.retry_after),) if failed.retry_after else ()
@@ -196,7 +196,7 @@
         "path": path,
         "marker": marker,
         "request": request,
-        "below": [called.answer for called in below],
+        "below": [result.answer for result in below],
         "filler": fill(marker, int(query.get("size", 0))),
     }
     return serving.form_json(200, value)
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,20 +1,20 @@
 """A stand-in for the platform's append-only log service, over HTTP.
 
-- ``POST /streams/NAME``, any body: 201 and ``{"offset": n}``. Offsets start at
-  0 in each stream.
+- ``POST /streams/NAME`` appends the body: 201 and ``{"offset": n}``. Offsets
+  start at 0 in each stream.
 - ``GET /streams/NAME?offset=N&limit=M&wait=SECONDS``: 200 and ``{"first",
   "next", "records": [{"offset", "time", "data"}]}``. ``first`` is the oldest
-  offset kept, ``next`` the one that the next append gets, also where ``limit``
-  cuts the records short; ``time`` is in wall-clock seconds, ``data`` is base64.
-  A read below ``first`` starts at ``first``. With ``wait`` the answer is held
-  until there is a record to give.
+  retained offset, ``next`` the offset of the next append, even if ``limit``
+  leaves out records; ``time`` is in wall-clock seconds, ``data`` is base64.
+  A read from an offset below ``first`` starts at ``first``. With ``wait`` the
+  response is delayed until there is a record.
 - ``POST /faults`` with any of ``{"down": bool, "delay": seconds,
-  "lose_answers": n, "retain": records}``. While down every other request gets
-  503. A lost answer belongs to an append that took effect.
-- ``GET /stats``: appends, reads and lost answers so far.
+  "lose_answers": n, "retain": records}``. While the log is down, requests to
+  streams get 503. Lost responses are those of appends that took effect.
+- ``GET /stats``: numbers of appends, reads, lost responses and current polls.
 
-Records are kept in memory only; the platform's own service outlives its
-processes, this one doesn't.
+Records are kept in memory only, so unlike those of the platform's log service
+they are lost when the process ends.
 """
 
 import argparse
@@ -27,27 +27,27 @@
 
 from . import serving
 
-# Requests answered at once. Each long poll holds a thread while it waits, so
-# polls get at most POLLS of them and appends always find one free. A poll too
-# many is answered at once with no records, as if its wait were over.
+# Each long poll occupies a thread while it waits. The number of polls is limited to
+# leave threads free for appends. A poll above the limit is answered immediately
+# without records, as if its wait had timed out.
 THREADS = 160
-POLLS = 120
+MAX_POLLS = 120
 
 DEFAULT_LIMIT = 1000
-MAX_WAIT = 60.0
+MAX_WAIT = 60.0  # seconds
 
-# An append that would wait longer than this for its turn is refused by 503, as
-# a service with a limited rate would do.
-MAX_TURN = 2.0
+# Seconds that an append may be delayed by the rate limit; beyond that it is refused
+# with 503.
+MAX_RATE_DELAY = 2.0
 
 
 class Record(NamedTuple):
     """One record of a stream.
 
     Attributes:
-        offset: Place in the stream, from 0.
-        time: Wall-clock seconds of the append.
-        data: What was appended.
+        offset: Position in the stream, from 0.
+        time: Wall-clock time of the append in seconds.
+        data: Appended bytes.
     """
 
     offset: int
@@ -56,12 +56,12 @@
 
 
 class Page(NamedTuple):
-    """What one read gives.
+    """Result of one read.
 
     Attributes:
-        first: Oldest offset kept.
-        next: Offset that the next append gets.
-        records: The records, in order.
+        first: Oldest retained offset.
+        next: Offset of the next append.
+        records: Records in the order of their offsets.
     """
 
     first: int
@@ -70,7 +70,14 @@
 
 
 class Faults(TypedDict, total=False):
-    """The body of ``POST /faults``; what is left out stays as it is."""
+    """Body of ``POST /faults``; faults that are absent stay unchanged.
+
+    Attributes:
+        down: Whether requests to streams get 503.
+        delay: Seconds by which appends and reads are delayed.
+        lose_answers: Number of next appends that take effect and get no response.
+        retain: Maximum number of records that a stream retains; None for no limit.
+    """
 
     down: bool
     delay: float
@@ -79,32 +86,42 @@
 
 
 class LogDown(Exception):
-    """The log is down, or has more appends than its rate allows."""
+    """The log is down, or its append rate is exceeded."""
 
 
 class Stream:
-    """The records kept of one stream."""
+    """Retained records of one stream."""
 
     def __init__(self):
         self.records = deque()
         self.end = 0
 
     def append(self, data, now):
-        """Add a record and return its offset."""
+        """Append a record and return its offset.
+
+        Args:
+            data: Bytes of the record.
+            now: Wall-clock time in seconds.
+        """
         offset = self.end
         self.records.append(Record(offset, now, data))
         self.end += 1
         return offset
 
     def drop(self, oldest, count):
-        """Forget records from before `oldest` seconds, and all but the last `count`."""
+        """Drop records that are too old or too many.
+
+        Args:
+            oldest: Wall-clock time in seconds; records from before are dropped.
+            count: Maximum number of records that are retained; None for no limit.
+        """
         while self.records and self.records[0].time < oldest:
             self.records.popleft()
         while count is not None and len(self.records) > count:
             self.records.popleft()
 
     def read(self, offset, limit):
-        """Return a `Page` from `offset` on, of at most `limit` records."""
+        """Return a `Page` of at most `limit` records, starting at `offset`."""
         first = self.records[0].offset if self.records else self.end
         start = max(offset, first)
         stop = min(start + limit, self.end)
@@ -113,48 +130,48 @@
 
 
 class Log:
-    """All streams, the faults set, and the lock that guards both."""
+    """All streams and faults, guarded by one lock."""
 
     def __init__(self, rate=None, retain=None):
         """Create an empty log.
 
         Args:
-            rate: Appends a second over all streams; None for no limit.
-            retain: Seconds for which records are kept; None for ever.
+            rate: Maximum appends per second over all streams; None for no limit.
+            retain: Seconds for which records are retained; None for no limit.
         """
         self.rate = rate
         self.retain = retain
         self.faults = Faults(down=False, delay=0.0, lose_answers=0, retain=None)
         self.stats = {"appends": 0, "reads": 0, "lost": 0, "polls": 0}
         self._streams = {}
-        self._changed = threading.Condition()
-        self._turn = 0.0
+        self._condition = threading.Condition()
+        self._next_append_time = 0.0
 
     def set_faults(self, faults):
-        """Set the faults named and wake every poll, for it to see them.
+        """Set the given faults and wake all polls, so that they apply at once.
 
         Raises:
-            ValueError: When there is no fault of some name.
+            ValueError: When a fault name is unknown.
         """
         if unknown := faults.keys() - self.faults.keys():
-            raise ValueError(f"no such faults: {sorted(unknown)}")
-        with self._changed:
+            raise ValueError(f"unknown faults: {sorted(unknown)}")
+        with self._condition:
             self.faults.update(faults)
-            self._changed.notify_all()
+            self._condition.notify_all()
 
     def append(self, name, data):
-        """Append to a stream, at the log's rate.
+        """Append to a stream, delayed as the rate limit requires.
 
         Returns:
-            The offset, and whether the answer has to be lost.
+            The offset, and whether the response has to be lost.
 
         Raises:
             LogDown: When the log is down or its rate is exceeded.
         """
-        self._pause()
-        time.sleep(self._take_turn())
-        with self._changed:
-            self._check()
+        self._apply_delay()
+        time.sleep(self._reserve_append())
+        with self._condition:
+            self._check_up()
             stream = self._streams.setdefault(name, Stream())
             offset = stream.append(data, time.time())
             self._drop(stream)
@@ -163,33 +180,33 @@
             if lost:
                 self.faults["lose_answers"] -= 1
                 self.stats["lost"] += 1
-            self._changed.notify_all()
+            self._condition.notify_all()
             return offset, lost
 
     def read(self, name, offset, limit, wait):
-        """Return a `Page`, after up to `wait` seconds if there is nothing yet.
+        """Return a `Page`, waiting up to `wait` seconds for a first record.
 
         Raises:
-            LogDown: When the log is or goes down.
+            LogDown: When the log is down or goes down during the wait.
         """
-        self._pause()
+        self._apply_delay()
         until = time.monotonic() + min(wait, MAX_WAIT)
-        with self._changed:
+        with self._condition:
             self.stats["reads"] += 1
             page = self._read(name, offset, limit)
-            if page.records or wait <= 0 or self.stats["polls"] >= POLLS:
+            if page.records or wait <= 0 or self.stats["polls"] >= MAX_POLLS:
                 return page
             self.stats["polls"] += 1
             try:
-                while not page.records and (left := until - time.monotonic()) > 0:
-                    self._changed.wait(left)
+                while not page.records and (remaining := until - time.monotonic()) > 0:
+                    self._condition.wait(remaining)
                     page = self._read(name, offset, limit)
                 return page
             finally:
                 self.stats["polls"] -= 1
 
     def _read(self, name, offset, limit):
-        self._check()
+        self._check_up()
         stream = self._streams.get(name) or Stream()
         self._drop(stream)
         return stream.read(offset, limit)
@@ -198,31 +215,31 @@
         oldest = time.time() - self.retain if self.retain else 0.0
         stream.drop(oldest, self.faults["retain"])
 
-    def _check(self):
+    def _check_up(self):
         if self.faults["down"]:
             raise LogDown("the log is down")
 
-    def _pause(self):
-        with self._changed:
-            self._check()
+    def _apply_delay(self):
+        with self._condition:
+            self._check_up()
             delay = self.faults["delay"]
         time.sleep(delay)
 
-    def _take_turn(self):
-        """Return how long to wait for a turn at the log's rate."""
+    def _reserve_append(self):
+        """Return the seconds by which the rate limit delays the next append."""
         if not self.rate:
             return 0.0
-        with self._changed:
+        with self._condition:
             now = time.monotonic()
-            turn = max(self._turn, now)
-            if turn - now > MAX_TURN:
-                raise LogDown("more appends than the log takes")
-            self._turn = turn + 1 / self.rate
-            return turn - now
+            append_time = max(self._next_append_time, now)
+            if append_time - now > MAX_RATE_DELAY:
+                raise LogDown("append rate exceeded")
+            self._next_append_time = append_time + 1 / self.rate
+            return append_time - now
 
 
 def answer_with(log):
-    """Return the function that answers requests from a `Log`."""
+    """Return the request handler of a log server."""
 
     def answer(environ):
         try:
@@ -249,7 +266,7 @@
         return serving.form_json(200, log.faults)
     if (method, path) == ("GET", "/stats"):
         return serving.form_json(200, log.stats)
-    return serving.form_json(404, {"error": f"nothing at {method} {path}"})
+    return serving.form_json(404, {"error": f"no endpoint {method} {path}"})
 
 
 def _answer_append(log, name, environ):
@@ -275,23 +292,25 @@
 
 
 def build_server(address, rate=None, retain=None):
-    """Bind a log server.
+    """Create a log server that is bound to its address.
 
     Args:
         address: `serving.Address`.
-        rate: Appends a second; None for no limit.
-        retain: Seconds for which records are kept; None for ever.
+        rate: Maximum appends per second; None for no limit.
+        retain: Seconds for which records are retained; None for no limit.
     """
     log = Log(rate, retain)
     return serving.build_server(address, answer_with(log), THREADS)
 
 
 def main(arguments=None):
-    """Serve a log until SIGTERM."""
+    """Serve a log until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--address", type=serving.parse_address, required=True)
-    parser.add_argument("--rate", type=float, help="appends a second")
-    parser.add_argument("--retain", type=float, help="seconds a record is kept")
+    parser.add_argument("--rate", type=float, help="maximum appends per second")
+    parser.add_argument(
+        "--retain", type=float, help="seconds for which records are retained"
+    )
     options = parser.parse_args(arguments)
     server = build_server(options.address, options.rate, options.retain)
     serving.start_server(server)
--- a/standins/outgoing.py
+++ b/standins/outgoing.py
@@ -1,4 +1,4 @@
-"""The outgoing calls of a stand-in backend server."""
+"""Nested calls of a stand-in backend server."""
 
 import itertools
 import json
@@ -7,18 +7,18 @@
 
 import urllib3
 
-CALL_TIMEOUT = 10.0
-# What the query of an outgoing call takes over from the request's.
-KEPT = ("marker", "work", "direct")
+CALL_TIMEOUT = 10.0  # seconds
+# Query parameters that a nested call copies from the request.
+PROPAGATED_PARAMETERS = ("marker", "work", "direct")
 
 
 class Call(NamedTuple):
-    """One outgoing call.
+    """A nested call.
 
     Attributes:
         service: Service to call.
-        path: Path there, with its slash.
-        rest: Calls that the called side has to make in turn.
+        path: Path of the request, starting with a slash.
+        rest: Calls that the called backend server has to make, as a ``next`` text.
     """
 
     service: str
@@ -26,12 +26,12 @@
     rest: str = ""
 
 
-class Called(NamedTuple):
-    """What came of one outgoing call.
+class CallResult(NamedTuple):
+    """Result of a nested call.
 
     Attributes:
         status: HTTP status.
-        answer: The JSON of the body, None when there is none.
+        answer: JSON object in the response's body, None when there is none.
         retry_after: Value of ``Retry-After``, or "".
     """
 
@@ -41,28 +41,36 @@
 
 
 def parse_calls(text):
-    """Read "submissions:/status,archive:/x" into calls."""
+    """Parse calls such as "submissions:/status,archive:/x"."""
     parts = (part.partition(":") for part in text.split(",") if part)
     return tuple(Call(service, path or "/") for service, _, path in parts)
 
 
 def parse_direct(text):
-    """Read "archive=host:port+host:port,..." into addresses by service."""
+    """Parse "archive=host:port+host:port,..." into addresses by service name."""
     parts = (part.partition("=") for part in text.split(",") if part)
     return {service: tuple(addresses.split("+")) for service, _, addresses in parts}
 
 
 def parse_next(text, path):
-    """Read the query's ``next``; return a tuple with the one call or none."""
+    """Parse the query parameter ``next``.
+
+    Args:
+        text: Value of the parameter.
+        path: Path of the request, for a service without a path.
+
+    Returns:
+        A tuple with one `Call`, or an empty one.
+    """
     if not text:
         return ()
     first, _, rest = text.partition(",")
-    service, slash, own_path = first.partition("/")
-    return (Call(service, f"/{own_path}" if slash else path, rest),)
+    service, slash, call_path = first.partition("/")
+    return (Call(service, f"/{call_path}" if slash else path, rest),)
 
 
 def build_caller(settings):
-    """Return a function that makes one outgoing call.
+    """Return a function that makes one nested call and returns its `CallResult`.
 
     Args:
         settings: `backend.Settings`.
@@ -72,32 +80,34 @@
     )
     turns = itertools.count()
 
-    def find_url(call, direct):
+    def build_url(call, direct):
         if not direct:
             return f"{settings.daemon}/services/{call.service}{call.path}"
         addresses = settings.direct.get(call.service)
         if not addresses:
-            raise LookupError(f"no address given for {call.service}")
+            raise LookupError(f"no direct address of service {call.service}")
         return f"http://{addresses[next(turns) % len(addresses)]}{call.path}"
 
     def make_call(call, request, query):
-        kept = {name: query[name] for name in KEPT if name in query}
+        parameters = {
+            name: query[name] for name in PROPAGATED_PARAMETERS if name in query
+        }
         if call.rest:
-            kept["next"] = call.rest
+            parameters["next"] = call.rest
         headers = {"X-Request-Id": request}
         try:
-            url = f"{find_url(call, 'direct' in query)}?{urlencode(kept)}"
+            url = f"{build_url(call, 'direct' in query)}?{urlencode(parameters)}"
             answer = http.request("GET", url, headers=headers, timeout=CALL_TIMEOUT)
             retry_after = answer.headers.get("Retry-After", "")
-            return Called(answer.status, read_json(answer.data), retry_after)
+            return CallResult(answer.status, parse_object(answer.data), retry_after)
         except (LookupError, urllib3.exceptions.HTTPError):
-            return Called(502, None)
+            return CallResult(502, None)
 
     return make_call
 
 
-def read_json(body):
-    """Return the JSON object in a body, None when there is none."""
+def parse_object(body):
+    """Return the JSON object in a body, None when the body is anything else."""
     try:
         value = json.loads(body)
     except ValueError:
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-in servers share: a WSGI server, JSON answers, broken answers."""
+"""WSGI server, JSON replies and truncated replies of the stand-in servers."""
 
 import errno
 import json
@@ -9,8 +9,8 @@
 
 from cheroot import wsgi
 
-BACKLOG = 512
-EXPIRATION_INTERVAL = 0.1
+BACKLOG = 512  # connections
+EXPIRATION_INTERVAL = 0.1  # seconds
 REASONS = {
     200: "OK",
     201: "Created",
@@ -25,11 +25,11 @@
 
 
 class Address(NamedTuple):
-    """Where a server listens.
+    """Address that a server listens on.
 
     Attributes:
-        host: IP number.
-        port: TCP port; 0 lets the system choose one.
+        host: IP address.
+        port: TCP port; with 0 the system chooses a free one.
     """
 
     host: str
@@ -40,14 +40,14 @@
 
 
 class Reply(NamedTuple):
-    """An answer of a stand-in, before it is sent.
+    """HTTP response of a stand-in server, before it is sent.
 
     Attributes:
         status: HTTP status.
-        body: The whole body.
+        body: Complete body.
         headers: Pairs of header name and value.
-        part: Bytes of the body that are sent before the connection is closed;
-            None sends the whole body.
+        part: Number of bytes of the body that are sent before the connection is
+            closed; None sends the complete body.
     """
 
     status: int
@@ -57,10 +57,10 @@
 
 
 def parse_address(text):
-    """Read "host:port".
+    """Parse "host:port".
 
     Raises:
-        ValueError: When there is no port or it isn't a number.
+        ValueError: When the port is missing or no number.
     """
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
@@ -73,30 +73,35 @@
 
 
 def read_body(environ):
-    """Return the whole body of a WSGI request."""
+    """Return the complete body of a WSGI request."""
     if environ.get("wsgi.input_terminated"):
         return environ["wsgi.input"].read()
     return environ["wsgi.input"].read(int(environ.get("CONTENT_LENGTH") or 0))
 
 
 def read_query(environ):
-    """Return the query of a WSGI request; of a name given twice the last counts."""
+    """Return the query of a WSGI request; the last value of a repeated name wins."""
     pairs = parse_qs(environ.get("QUERY_STRING", ""), keep_blank_values=True)
     return {name: values[-1] for name, values in pairs.items()}
 
 
 def break_connection():
-    """Close the connection of the request at hand without another byte.
+    """Close the connection of the current request without sending more bytes.
 
     Raises:
-        ConnectionResetError: Always. The server closes a connection on it and
-            sends nothing, where any other error would become a status of 500.
+        ConnectionResetError: Always. On this error the server closes the
+            connection and sends nothing; any other error would become a
+            response with status 500.
     """
-    raise ConnectionResetError(errno.ECONNRESET, "closed by a fault that was set")
+    raise ConnectionResetError(errno.ECONNRESET, "closed by an injected fault")
 
 
 def wrap_application(answer):
-    """Make a WSGI callable of a function from environ to `Reply`."""
+    """Return a WSGI application that sends the `Reply` of a function.
+
+    Args:
+        answer: Function from the WSGI environ to a `Reply`.
+    """
 
     def serve(environ, start_response):
         reply = answer(environ)
@@ -116,12 +121,12 @@
 
 
 def build_server(address, answer, threads):
-    """Bind a server that answers with `answer(environ) -> Reply`.
+    """Create a server that is bound to its address.
 
     Args:
-        address: `Address`; with port 0 read the real one by `find_address`.
+        address: `Address`; if its port is 0, `find_address` returns the actual one.
         answer: Function from the WSGI environ to a `Reply`.
-        threads: Requests that can be answered at once.
+        threads: Maximum number of requests that are processed concurrently.
     """
     server = wsgi.Server(
         tuple(address),
@@ -131,29 +136,29 @@
         timeout=60,
         shutdown_timeout=1,
     )
-    # Beyond the default of ten kept connections the server closes each one
-    # after its answer; callers would then see resets and pay for connecting.
+    # By default the server keeps ten connections alive and closes all others after
+    # their response; callers would then see resets and have to reconnect.
     server.keep_alive_conn_limit = None
-    # How long stopping may take.
+    # Interval of the server's expiration checks, which also delay its stop.
     server.expiration_interval = EXPIRATION_INTERVAL
     server.prepare()
     return server
 
 
 def find_address(server):
-    """Return the `Address` that a prepared server listens on."""
+    """Return the `Address` that a bound server listens on."""
     return Address(*server.socket.getsockname()[:2])
 
 
 def start_server(server):
-    """Serve on a thread of its own and return that thread."""
+    """Start serving on a new thread and return the thread."""
     thread = threading.Thread(target=server.serve, name="server", daemon=True)
     thread.start()
     return thread
 
 
 def wait_for_signal():
-    """Return once SIGTERM or SIGINT has come."""
+    """Wait until SIGTERM or SIGINT arrives."""
     stopping = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopping.set())
