--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,14 +1,14 @@
-"""A stand-in caller, which plays a recorded trace and retries hard.
+"""A stand-in caller, which plays a recorded trace and retries aggressively.
 
-It keeps asking until a request is completed, its time is over or it has been
-sent `MAX_SENDS` times, as clients under stress do: at once and with jitter in
-`HARD`, after the time that the answer names in `POLITE`, never in `NONE`. Each
-time it asks is a root request of its own with its own ``X-Request-Id``; a key
-stays the same.
+It retries until a request is completed, its deadline passes or it was sent
+`MAX_SENDS` times, as clients under stress do: after a short random delay with
+`HARD`, after the delay that the response requests with `POLITE`, never with
+`NONE`. Each attempt is a separate root request with a new ``X-Request-Id``; all
+attempts have the same idempotency key.
 
-As a command it prints one JSON line for each request of the trace, a `Result`,
-to standard output or the file that ``--results`` names. It ends with 2 when one
-of its threads raised; the traceback goes to standard error.
+As a command it writes a JSON line with the `Result` of each request of the trace
+to standard output or to the file of ``--results``. The exit status is 2 if one of
+its threads failed; the traceback goes to standard error.
 """
 
 import argparse
@@ -29,12 +29,12 @@
 EXIT_OK = 0
 EXIT_FAILED = 2
 MAX_SENDS = 5
-HARD_PAUSE = 0.05
+HARD_RETRY_DELAY = 0.05  # seconds, on average
 UUID_VERSION = 7
 
 
 class Retry(enum.Enum):
-    """How a caller comes back after a request that wasn't completed."""
+    """How a caller retries a request that wasn't completed."""
 
     NONE = "none"
     POLITE = "polite"
@@ -42,17 +42,17 @@
 
 
 class Result(NamedTuple):
-    """What came of one request of the trace.
+    """Result of one request of the trace.
 
     Attributes:
         at: Seconds after the start at which it was due.
-        service: Service wanted.
-        next: Calls down the chain, as in the trace.
+        service: Name of the called service.
+        next: Nested calls, as in the trace.
         importance: Declared importance.
-        key: Idempotency key, or "".
-        late: Seconds after its due time at which it was first sent.
-        latency: Seconds from due to the end of the last answer.
-        sent: Each time it was asked; the last one counts.
+        key: Idempotency key, "" for none.
+        late: Seconds from its due time until it was first sent.
+        latency: Seconds from its due time to the end of the last response.
+        sent: All attempts in their order.
     """
 
     at: float
@@ -66,7 +66,7 @@
 
     @property
     def last(self):
-        """What the caller was told in the end."""
+        """Last attempt, whose outcome is reported to the caller."""
         return self.sent[-1]
 
 
@@ -74,7 +74,7 @@
     """Return a new idempotency key, a UUID of version 7.
 
     Args:
-        now: Wall-clock seconds; None for now.
+        now: Wall-clock time in seconds; None for the current time.
     """
     milliseconds = int((time.time() if now is None else now) * 1000)
     value = (milliseconds << 80) | secrets.randbits(80)
@@ -83,68 +83,69 @@
     return str(uuid.UUID(int=value))
 
 
-def ask(send, request, retry, draw):
-    """Ask until a request is completed or there is no point in going on.
+def send_until_done(send, request, retry, draw):
+    """Send a request until it is completed or no retry is possible.
 
-    A key is sent again unchanged also after an unknown outcome: the system
-    has to see to it that the work runs once.
+    The idempotency key stays the same also after an unknown outcome: the daemons
+    have to guarantee that the work runs once.
 
     Args:
         send: Function made by `sender.build_sender`.
         request: `trace.Request`.
         retry: `Retry`.
-        draw: `random.Random` for the pauses.
+        draw: `random.Random` for the retry delays.
 
     Returns:
-        The key used and a tuple of `sender.Sent`.
+        The idempotency key and a tuple of `sender.Sent`.
     """
     key = new_key() if request.key == "new" else request.key
     until = time.monotonic() + request.timeout
     sent = []
-    while (left := until - time.monotonic()) > 0:
-        sent.append(send(request, key, left))
+    while (remaining := until - time.monotonic()) > 0:
+        sent.append(send(request, key, remaining))
         if sent[-1].succeeded or retry is Retry.NONE or len(sent) >= MAX_SENDS:
             break
-        pause = find_pause(sent[-1], retry, draw)
-        if time.monotonic() + pause >= until:
+        delay = get_retry_delay(sent[-1], retry, draw)
+        if time.monotonic() + delay >= until:
             break
-        # A busy machine may sleep past the deadline: what was seen so far is
-        # the result then, and a time that is over is never handed to a sender.
-        time.sleep(pause)
-    return key, tuple(sent) or (build_unsent(),)
+        # On a busy machine the sleep may end after the deadline. The attempts made
+        # so far are the result then: a timeout must not be negative.
+        time.sleep(delay)
+    return key, tuple(sent) or (build_expired(),)
 
 
-def build_unsent():
-    """Return what came of a request whose time was over before it was sent."""
+def build_expired():
+    """Return the result of a request whose deadline passed before it was sent."""
     return sender.Sent(uuid.uuid4().hex, "not-run", "deadline", 0, 0.0)
 
 
-def find_pause(sent, retry, draw):
-    """Return the seconds before a caller asks again."""
+def get_retry_delay(sent, retry, draw):
+    """Return the delay in seconds before a caller retries."""
     if retry is Retry.POLITE and sent.retry_after:
         return sent.retry_after
-    return HARD_PAUSE * draw.uniform(0.5, 1.5)
+    return HARD_RETRY_DELAY * draw.uniform(0.5, 1.5)
 
 
 def play(requests, send, retry, threads, seed=0):
-    """Play requests at their times.
+    """Send requests at their due times and return their results.
 
     Args:
         requests: Iterable of `trace.Request` in the order of their times.
         send: Function made by `sender.build_sender`.
         retry: `Retry`.
-        threads: Requests under way at once, at most. What is due while all
-            are taken is sent late, and `Result.late` says by how much.
-        seed: Seed of the pauses.
+        threads: Maximum number of concurrent requests. A request that is due while
+            all threads are busy is sent late, see `Result.late`.
+        seed: Seed of the retry delays.
 
     Returns:
         A list of `Result`.
 
     Raises:
-        ExceptionGroup: With what each thread raised that died, its name noted.
+        ExceptionGroup: When threads failed. It contains the exception of each, with a
+            note that names the thread.
     """
     due, results, errors = queue.SimpleQueue(), [], []
-    began = time.monotonic()
+    started_at = time.monotonic()
 
     def work(number):
         try:
@@ -156,9 +157,9 @@
     def serve(number):
         draw = random.Random(f"{seed}-{number}")
         while (request := due.get()) is not None:
-            late = time.monotonic() - began - request.at
-            key, sent = ask(send, request, retry, draw)
-            latency = time.monotonic() - began - request.at
+            late = time.monotonic() - started_at - request.at
+            key, sent = send_until_done(send, request, retry, draw)
+            latency = time.monotonic() - started_at - request.at
             results.append(
                 Result(
                     request.at,
@@ -179,40 +180,49 @@
     for worker in workers:
         worker.start()
     for request in requests:
-        time.sleep(max(0.0, began + request.at - time.monotonic()))
+        time.sleep(max(0.0, started_at + request.at - time.monotonic()))
         due.put(request)
     for _ in workers:
         due.put(None)
     for worker in workers:
         worker.join()
     if errors:
-        raise ExceptionGroup("threads of the caller died", errors)
+        raise ExceptionGroup("caller threads failed", errors)
     return results
 
 
 def write_result(result):
-    """Return a result as a line of JSON."""
+    """Return a result as a JSON line."""
     return json.dumps(result) + "\n"
 
 
 def read_result(line):
-    """Return the `Result` that `write_result` wrote."""
+    """Parse a JSON line of `write_result` into a `Result`."""
     *fields, sent = json.loads(line)
     return Result(*fields, tuple(sender.Sent(*each) for each in sent))
 
 
 def parse_part(text):
-    """Read "1/3": the second of three callers that share a trace."""
+    """Parse a part such as "1/3", the second of three callers that share a trace.
+
+    Returns:
+        The number of the caller, from 0, and the number of callers.
+    """
     number, _, count = text.partition("/")
     return int(number), int(count)
 
 
 def main(arguments=None):
-    """Play a trace and print its results."""
+    """Play a trace, write its results and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--trace", type=argparse.FileType(), required=True)
-    parser.add_argument("--entries", required=True, help="URLs, with commas")
-    parser.add_argument("--rate", type=float, default=1.0, help="1: as recorded")
+    parser.add_argument("--entries", required=True, help="URLs separated by commas")
+    parser.add_argument(
+        "--rate",
+        type=float,
+        default=1.0,
+        help="multiple of the recorded rate; default: 1",
+    )
     parser.add_argument("--seconds", type=float, help="default: the trace once")
     parser.add_argument("--retry", type=Retry, default=Retry.HARD)
     parser.add_argument("--threads", type=int, default=128)
@@ -224,13 +234,15 @@
     requests = trace.schedule_requests(
         trace.read_trace(options.trace), options.rate, options.seconds
     )
-    own = [request for at, request in enumerate(requests) if at % count == number]
+    requests_of_part = [
+        request for at, request in enumerate(requests) if at % count == number
+    ]
     seed = options.seed * count + number
     send = sender.build_sender(
         options.entries.split(","), seed, connections=options.threads
     )
     try:
-        results = play(own, send, options.retry, options.threads, seed)
+        results = play(requests_of_part, send, options.retry, options.threads, seed)
     except ExceptionGroup as errors:
         traceback.print_exception(errors)
         return EXIT_FAILED
--- a/standins/sender.py
+++ b/standins/sender.py
@@ -1,4 +1,4 @@
-"""Sending a request of a trace once, and what its answer tells."""
+"""Sending one attempt of a traced request and classifying its response."""
 
 import json
 import random
@@ -9,23 +9,25 @@
 
 import urllib3
 
-# The daemon answers by the deadline; only one that is stuck takes longer.
-GRACE = 1.0
+# Seconds after the deadline until a daemon counts as hung: daemons answer by the
+# deadline.
+RESPONSE_GRACE = 1.0
 LOW_URGENCY = "u=5"
 
 
 class Sent(NamedTuple):
-    """What came of asking once.
+    """Result of sending a request once.
 
     Attributes:
-        request: The ``X-Request-Id`` used.
+        request: Value of ``X-Request-Id``.
         outcome: "completed", "not-run" or "unknown".
-        reason: ``Whinwinch-Reason``, or the kind of a connection's error.
-        status: HTTP status, 0 when there was no answer.
-        latency: Seconds from sending to the whole answer.
-        retries: ``Whinwinch-Retries``: retries that this request caused.
-        retry_after: Seconds after which the answer invites to come back.
-        whole: Whether the answer is whole and this request's own.
+        reason: ``Whinwinch-Reason``, or the class name of a connection error.
+        status: HTTP status, 0 without a response.
+        latency: Seconds from sending to the end of the response.
+        retries: ``Whinwinch-Retries``, the number of retries that this request
+            caused.
+        retry_after: Retry delay in seconds that the response requests, 0 for none.
+        whole: Whether the response is complete and belongs to this request.
     """
 
     request: str
@@ -39,19 +41,19 @@
 
     @property
     def succeeded(self):
-        """Whether the request was completed and its whole answer came."""
+        """Whether the request was completed and its complete response received."""
         return self.outcome == "completed" and self.status == 200 and self.whole
 
 
 def build_sender(entries, seed=0, direct=False, connections=64):
-    """Return a function that sends a request once and tells what came of it.
+    """Return a function that sends a request once and returns a `Sent`.
 
     Args:
-        entries: URLs of the daemons to enter by, one of which is drawn for each
-            request; or, with `direct`, of the service's backend servers.
+        entries: URLs of the entry daemons or, with `direct`, of the service's
+            backend servers. One is drawn for each request.
         seed: Seed of the draw.
-        direct: Whether to ask backend servers without daemons.
-        connections: Connections kept to each entry.
+        direct: Whether requests bypass the daemons.
+        connections: Maximum number of connections kept open to each entry.
     """
     http = urllib3.PoolManager(
         num_pools=len(entries), maxsize=connections, retries=False
@@ -61,23 +63,26 @@
     def send(request, key="", timeout=None):
         identifier = uuid.uuid4().hex
         timeout = request.timeout if timeout is None else timeout
-        target = find_target(draw.choice(entries), request, identifier, direct)
-        headers = form_headers(request, identifier, key, timeout)
-        began = time.monotonic()
+        target = build_url(draw.choice(entries), request, identifier, direct)
+        headers = build_headers(request, identifier, key, timeout)
+        started_at = time.monotonic()
         try:
             answer = http.request(
-                request.method, target, headers=headers, timeout=timeout + GRACE
+                request.method,
+                target,
+                headers=headers,
+                timeout=timeout + RESPONSE_GRACE,
             )
         except urllib3.exceptions.HTTPError as error:
-            return judge_error(error, identifier, time.monotonic() - began)
-        latency = time.monotonic() - began
-        return judge_answer(answer, request, identifier, latency)
+            return classify_error(error, identifier, time.monotonic() - started_at)
+        latency = time.monotonic() - started_at
+        return classify_response(answer, request, identifier, latency)
 
     return send
 
 
-def find_target(entry, request, identifier, direct):
-    """Return the URL of a request; its own identifier is its marker."""
+def build_url(entry, request, identifier, direct):
+    """Return the URL of a request, with its identifier as the marker."""
     query = {"marker": identifier}
     if request.next:
         query["next"] = request.next
@@ -90,11 +95,11 @@
     return f"{entry}/services/{request.service}{request.path}?{urlencode(query)}"
 
 
-def form_headers(request, identifier, key, timeout):
+def build_headers(request, identifier, key, timeout):
     """Return the headers of a request to a daemon.
 
-    Only an importance below normal is sent: callers may lower what the
-    resource declares, and the resource is what the demo is about.
+    Only an importance below normal is sent: callers may lower the importance
+    that the resource declares, and the demo shows the effect of the resources.
     """
     headers = {
         "X-Request-Id": identifier,
@@ -109,8 +114,11 @@
     return headers
 
 
-def judge_error(error, identifier, latency):
-    """Return what a broken connection tells: nothing, unless none was opened."""
+def classify_error(error, identifier, latency):
+    """Return the `Sent` of a request that ended with a connection error.
+
+    The outcome is "not-run" if no connection was opened, else "unknown".
+    """
     opened = not isinstance(
         error,
         (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError),
@@ -119,8 +127,11 @@
     return Sent(identifier, outcome, type(error).__name__, 0, latency)
 
 
-def judge_answer(answer, request, identifier, latency):
-    """Return what an answer tells; without a daemon's headers, by its status."""
+def classify_response(answer, request, identifier, latency):
+    """Return the `Sent` of a request that got a response.
+
+    Without a daemon's headers the outcome is derived from the status.
+    """
     by_status = {200: "completed", 503: "not-run"}.get(answer.status, "unknown")
     whole = answer.status == 200 and is_whole(answer.data, request, identifier)
     return Sent(
@@ -130,20 +141,20 @@
         answer.status,
         latency,
         int(answer.headers.get("Whinwinch-Retries", 0)),
-        find_retry_after(answer.headers),
+        get_retry_after(answer.headers),
         whole,
     )
 
 
-def find_retry_after(headers):
-    """Return the seconds after which an answer invites to come back, 0 for none."""
+def get_retry_after(headers):
+    """Return the retry delay in seconds from response headers, 0 for none."""
     if "Whinwinch-Retry-After" in headers:
         return int(headers["Whinwinch-Retry-After"]) / 1000
     return float(headers.get("Retry-After", 0))
 
 
 def is_whole(body, request, identifier):
-    """Return whether a body is all of the answer to this request, at every hop."""
+    """Return whether a body is complete and belongs to this request, at every hop."""
     try:
         answer = json.loads(body)
     except ValueError:
@@ -153,12 +164,12 @@
     hops = list_hops(answer)
     services = [hop.get("service") for hop in hops]
     calls = [call.partition("/")[0] for call in request.next.split(",") if call]
-    own = all(hop.get("marker") == identifier for hop in hops)
-    return own and services == [request.service, *calls]
+    markers_match = all(hop.get("marker") == identifier for hop in hops)
+    return markers_match and services == [request.service, *calls]
 
 
 def list_hops(answer):
-    """Return the answers of a chain, the entry's first."""
+    """Return the JSON objects of all hops of a call chain, the entry's first."""
     hops = [answer]
     for below in answer.get("below") or ():
         hops += list_hops(below or {})
--- a/standins/trace.py
+++ b/standins/trace.py
@@ -1,7 +1,7 @@
-"""The recorded trace of requests that the stand-in caller plays.
+"""Reading, writing and scheduling recorded traces of requests.
 
-A trace is a file of JSON lines, one request each, in the order of ``at``. What
-is left out has the default of `Request`.
+A trace is a file of JSON lines, one request each, in the order of ``at``. Absent
+fields have the defaults of `Request`. The stand-in caller plays traces.
 """
 
 import itertools
@@ -16,17 +16,17 @@
 
     Attributes:
         at: Seconds after the start of the trace.
-        service: Service wanted.
+        service: Name of the called service.
         method: HTTP method.
-        path: Path there.
-        importance: Importance that the service's resource declares, of
-            `IMPORTANCES`; the table's rows.
-        key: Idempotency key; "new" for one made when the request is played.
-        next: Calls down the chain, as the stand-in backend server reads them.
-        timeout: Seconds within which an answer is wanted.
+        path: Path of the request.
+        importance: Importance that the service's resource declares, one of
+            `IMPORTANCES`; tables of results have a row for each.
+        key: Idempotency key; "new" for one generated when the request is played.
+        next: Nested calls, in the format of the stand-in backend server's query.
+        timeout: Seconds from sending to the deadline.
         caller: Name of the caller.
         work: Factor on the service time.
-        size: Characters of filler in the answer.
+        size: Number of filler characters in the response.
     """
 
     at: float
@@ -43,10 +43,10 @@
 
 
 def read_trace(lines):
-    """Read a trace from JSON lines.
+    """Parse a trace from JSON lines.
 
     Raises:
-        ValueError: With the number of the first line that is no request.
+        ValueError: When a line is no request; the message has its number.
     """
     requests = []
     for number, line in enumerate(lines, 1):
@@ -58,7 +58,7 @@
 
 
 def write_trace(requests):
-    """Return the lines of a trace, defaults left out."""
+    """Yield the JSON lines of a trace, without fields that have the default."""
     defaults = Request._field_defaults
     for request in requests:
         fields = request._asdict().items()
@@ -67,21 +67,24 @@
 
 
 def find_length(requests):
-    """Return the seconds that a trace lasts, with the gap after its last request."""
+    """Return the length of a trace in seconds.
+
+    It includes an average gap after the last request, before the trace repeats.
+    """
     if not requests:
         return 0.0
     return requests[-1].at * len(requests) / max(1, len(requests) - 1)
 
 
 def schedule_requests(requests, rate, seconds):
-    """Yield the requests at a multiple of their rate for some time.
+    """Yield the requests at a multiple of their recorded rate.
 
-    A trace that is over before then begins again.
+    A trace that is shorter than `seconds` is repeated.
 
     Args:
         requests: The trace.
-        rate: 2.0 plays it in half of its time.
-        seconds: Time to play for; None plays it once.
+        rate: Multiple of the recorded rate; 2.0 plays the trace in half the time.
+        seconds: Length of the schedule; None plays the trace once.
     """
     length = find_length(requests)
     for lap in itertools.count():
--- a/test/standins/test_caller.py
+++ b/test/standins/test_caller.py
@@ -67,7 +67,9 @@
         load.set_faults({"lose_answers": 2})
         send = sender.build_sender([url], direct=True)
         request = REQUEST._replace(method="POST", key="new")
-        key, sent = caller.ask(send, request, caller.Retry.HARD, random.Random(1))
+        key, sent = caller.send_until_done(
+            send, request, caller.Retry.HARD, random.Random(1)
+        )
         outcomes = [each.outcome for each in sent]
         self.assertEqual(outcomes, ["unknown", "unknown", "completed"])
         self.assertEqual(load.report_runs()["keys"], {key: 3})
@@ -92,14 +94,16 @@
         with unittest.mock.patch.object(
             caller.time, "sleep", lambda _, sleep=time.sleep: sleep(0.2)
         ):
-            _, sent = caller.ask(send, request, caller.Retry.HARD, Draw())
+            _, sent = caller.send_until_done(send, request, caller.Retry.HARD, Draw())
         self.assertEqual([each.outcome for each in sent], ["not-run"])
         self.assertTrue(all(timeout > 0 for timeout in given))
 
     def test_time_is_over_before_the_first_asking(self):
         """A request waits for a thread until its time is over: it was not run."""
         request = REQUEST._replace(timeout=0.0)
-        _, sent = caller.ask(None, request, caller.Retry.HARD, random.Random(1))
+        _, sent = caller.send_until_done(
+            None, request, caller.Retry.HARD, random.Random(1)
+        )
         self.assertEqual([each.outcome for each in sent], ["not-run"])
         self.assertEqual(sent[0].reason, "deadline")
 
@@ -131,7 +135,7 @@
             error = io.StringIO()
             with (
                 unittest.mock.patch.object(
-                    caller.sender, "find_target", side_effect=RuntimeError("boom")
+                    caller.sender, "build_url", side_effect=RuntimeError("boom")
                 ),
                 contextlib.redirect_stderr(error),
             ):
