--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole path shown with stand-ins."""
+"""Demonstration of a complete mesh with stand-ins for the external systems."""
--- a/demo/draw.py
+++ b/demo/draw.py
@@ -1,8 +1,8 @@
-"""Draws the trace that the demo plays, from a fixed seed.
+"""Generator of the trace that the demo plays.
 
-``python -m demo.draw > demo/press.jsonl`` writes the same file again. It stands
-for twelve seconds of an ordinary reading day at the Press: half of what
-submissions can carry, little beside it.
+The seed is fixed, so ``python -m demo.draw > demo/press.jsonl`` reproduces the
+file. The trace represents twelve seconds of an ordinary day at the Press: half
+of the capacity of submissions is used, and little of the other services.
 """
 
 import random
@@ -12,16 +12,16 @@
 from standins import trace
 
 SEED = 20
-SECONDS = 12.0
+TRACE_SECONDS = 12.0
 
 
-class Kind(NamedTuple):
-    """A kind of request.
+class RequestClass(NamedTuple):
+    """A class of requests with the same service, call and rate.
 
     Attributes:
-        rate: Requests a second, with Poisson arrivals.
-        callers: Prefix of the callers' names, and how many there are.
-        request: The request, without its time and caller.
+        rate: Requests per second; arrivals are a Poisson process.
+        callers: Prefix of the callers' names and number of callers.
+        request: Request without its time and caller.
     """
 
     rate: float
@@ -29,38 +29,42 @@
     request: trace.Request
 
 
-def describe(service, path, importance, **more):
+def build_request(service, path, importance, **more):
     """Return a request without its time and caller."""
     return trace.Request(0.0, service, path=path, importance=importance, **more)
 
 
-KINDS = (
-    Kind(14, ("reader", 40), describe("catalog", "/books", "normal", size=2000)),
-    Kind(12, ("poet", 25), describe("submissions", "/status", "low")),
-    Kind(18, ("poet", 60), describe("submissions", "/status", "normal")),
-    Kind(4, ("editor", 4), describe("submissions", "/decisions", "high")),
-    Kind(8, ("library", 6), describe("archive", "/listings", "high", size=4000)),
-    Kind(
+REQUEST_CLASSES = (
+    RequestClass(
+        14, ("reader", 40), build_request("catalog", "/books", "normal", size=2000)
+    ),
+    RequestClass(12, ("poet", 25), build_request("submissions", "/status", "low")),
+    RequestClass(18, ("poet", 60), build_request("submissions", "/status", "normal")),
+    RequestClass(4, ("editor", 4), build_request("submissions", "/decisions", "high")),
+    RequestClass(
+        8, ("library", 6), build_request("archive", "/listings", "high", size=4000)
+    ),
+    RequestClass(
         6,
         ("library", 6),
-        describe(
+        build_request(
             "catalog", "/orders", "high", next="submissions/decisions,archive/listings"
         ),
     ),
-    Kind(
+    RequestClass(
         5,
         ("reader", 40),
-        describe("catalog", "/books", "normal", next="submissions/status"),
+        build_request("catalog", "/books", "normal", next="submissions/status"),
     ),
-    Kind(
+    RequestClass(
         3,
         ("press", 1),
-        describe("royalties", "/payouts", "critical", method="POST", key="new"),
+        build_request("royalties", "/payouts", "critical", method="POST", key="new"),
     ),
-    Kind(
+    RequestClass(
         4,
         ("press", 1),
-        describe(
+        build_request(
             "royalties",
             "/payouts",
             "critical",
@@ -69,23 +73,27 @@
             next="submissions/acceptances",
         ),
     ),
-    Kind(
+    RequestClass(
         2,
         ("poet", 25),
-        describe("royalties", "/statements", "normal", next="archive/listings"),
+        build_request("royalties", "/statements", "normal", next="archive/listings"),
     ),
 )
 
 
-def draw_trace(seed=SEED, seconds=SECONDS):
-    """Return a trace in the order of its times."""
+def draw_trace(seed=SEED, seconds=TRACE_SECONDS):
+    """Return a random trace, ordered by time."""
     draw = random.Random(seed)
-    requests = [request for kind in KINDS for request in draw_kind(draw, kind, seconds)]
+    requests = [
+        request
+        for kind in REQUEST_CLASSES
+        for request in draw_class(draw, kind, seconds)
+    ]
     return sorted(requests, key=lambda request: request.at)
 
 
-def draw_kind(draw, kind, seconds):
-    """Yield the requests of one kind."""
+def draw_class(draw, kind, seconds):
+    """Yield the random requests of one `RequestClass`."""
     prefix, count = kind.callers
     at = draw.expovariate(kind.rate)
     while at < seconds:
--- a/demo/mesh.py
+++ b/demo/mesh.py
@@ -1,4 +1,4 @@
-"""The Press's mesh at its size of today, as processes on this machine."""
+"""The Press's mesh at its current size, as processes on the local machine."""
 
 import itertools
 import json
@@ -13,20 +13,20 @@
 REGION = "press"
 ZONES = ("zone-1", "zone-2", "zone-3", "zone-4")
 RESOURCES = pathlib.Path(__file__).with_name("resources.json")
-START_TIMEOUT = 40.0
-# "Several hundred appends a second" is what the Press's log takes.
+START_TIMEOUT = 40.0  # seconds
+# Appends per second; the Press's log accepts several hundred.
 LOG_RATE = 300
 PROBE_HEADERS = {"Whinwinch-Timeout": "2000", "Whinwinch-Caller": "probe"}
 
 
 class Service(NamedTuple):
-    """A service of the mesh, one endpoint in each availability zone.
+    """A service of the mesh, with one endpoint in each availability zone.
 
     Attributes:
         name: Name of the service.
-        slots: Slots of each endpoint.
-        connections: Connections of each endpoint.
-        service_time: Seconds that a request takes there by itself.
+        slots: Number of slots of each endpoint.
+        connections: Maximum number of connections of each endpoint.
+        service_time: Seconds for which a request occupies a slot.
     """
 
     name: str
@@ -36,12 +36,12 @@
 
     @property
     def capacity(self):
-        """Requests a second that all its endpoints can carry."""
+        """Requests per second that all its endpoints can process together."""
         return len(ZONES) * self.slots / self.service_time
 
 
-# Slots and connections are the Press's own. The service times are ours: long
-# enough that one machine carries the mesh, its daemons and the callers.
+# Slots and connections are those of the Press. The service times are long enough
+# for one machine to run the mesh, its daemons and the callers.
 SERVICES = (
     Service("catalog", 70, 500, 0.03),
     Service("submissions", 10, 150, 0.4),
@@ -51,16 +51,16 @@
 
 
 class Node(NamedTuple):
-    """A backend server and the daemon beside it.
+    """A backend server and its daemon.
 
     Attributes:
         service: `Service` of the backend server.
         zone: Availability zone.
-        entry: Port of the daemon for callers.
-        loopback: Port of the daemon for its own backend server.
-        peer: Port of the daemon for other daemons.
+        entry: Port on which the daemon serves callers.
+        loopback: Port on which the daemon serves the local backend server.
+        peer: Port on which the daemon serves other daemons.
         backend: Port of the backend server.
-        admin: Port of the daemon for operators.
+        admin: Port on which the daemon serves operators.
     """
 
     service: Service
@@ -73,34 +73,34 @@
 
     @property
     def name(self):
-        """Name of the node's log files."""
+        """Name of the node, as used in the names of its output files."""
         return f"{self.service.name}-{self.zone}"
 
     @property
     def entry_url(self):
-        """URL of the daemon for callers."""
+        """URL at which the daemon serves callers."""
         return f"http://{HOST}:{self.entry}"
 
     @property
     def admin_url(self):
-        """URL of the daemon for operators."""
+        """URL at which the daemon serves operators."""
         return f"http://{HOST}:{self.admin}"
 
     @property
     def backend_url(self):
-        """URL of the backend server itself."""
+        """URL of the backend server, without its daemon."""
         return f"http://{HOST}:{self.backend}"
 
 
 class Mesh(NamedTuple):
-    """A mesh whose processes have been started.
+    """A started mesh.
 
     Attributes:
-        log: The log's process.
-        daemons: The daemons' processes.
-        backends: The backend servers' processes.
-        nodes: `Node` of each pair.
-        env: Environment of the daemons and of operators' commands.
+        log: Process of the log.
+        daemons: Processes of the daemons.
+        backends: Processes of the backend servers.
+        nodes: `Node` of each pair of daemon and backend server.
+        env: Environment variables of the daemons and of operator commands.
         log_url: URL of the log.
     """
 
@@ -112,25 +112,28 @@
     log_url: str
 
 
-# The fields of a node that are ports.
-PORTS = ("entry", "loopback", "peer", "backend", "admin")
+# Fields of `Node` that are ports.
+PORT_FIELDS = ("entry", "loopback", "peer", "backend", "admin")
 
 
 def place_nodes(services=SERVICES, zones=ZONES):
     """Return a `Node` for each service in each zone, with free ports."""
     places = [(service, zone) for service in services for zone in zones]
-    ports = iter(processes.find_ports(len(PORTS) * len(places)))
-    return tuple(Node(*place, *itertools.islice(ports, len(PORTS))) for place in places)
+    ports = iter(processes.find_ports(len(PORT_FIELDS) * len(places)))
+    return tuple(
+        Node(*place, *itertools.islice(ports, len(PORT_FIELDS))) for place in places
+    )
 
 
 def start_mesh(running, nodes, log_options=(), find_env=lambda node: {}):
-    """Start the log, then all daemons and backend servers at once.
+    """Start the log, the daemons and the backend servers, without waiting for them.
 
     Args:
         running: `processes.Processes`.
         nodes: Tuple of `Node`.
-        log_options: Further arguments of the log.
-        find_env: Returns further environment variables of a node's daemon.
+        log_options: Additional arguments of the log.
+        find_env: Function from a `Node` to additional environment variables of
+            its daemon.
 
     Returns:
         A `Mesh` that isn't ready yet.
@@ -178,23 +181,25 @@
         "--slots": service.slots,
         "--connections": service.connections,
         "--service-time": service.service_time,
-        "--direct": form_direct(nodes),
+        "--direct": build_direct_option(nodes),
     }
     flags = [part for pair in arguments.items() for part in pair]
     return running.start(f"backend-{node.name}", "standins.backend", flags)
 
 
-def form_direct(nodes):
-    """Return all backend servers' addresses as their ``--direct`` wants them."""
+def build_direct_option(nodes):
+    """Return the value of ``--direct``, the addresses of all backend servers."""
     by_service = {}
     for node in nodes:
         addresses = by_service.setdefault(node.service.name, [])
         addresses.append(f"{HOST}:{node.backend}")
-    return ",".join(f"{name}={'+'.join(all_)}" for name, all_ in by_service.items())
+    return ",".join(
+        f"{name}={'+'.join(endpoints)}" for name, endpoints in by_service.items()
+    )
 
 
 def apply_resources(running, mesh, path=RESOURCES):
-    """Apply declared resources by the operators' command, at the first daemon.
+    """Apply declared resources at the first daemon, by the operators' command.
 
     Raises:
         processes.NotReady: When the command fails.
@@ -205,7 +210,7 @@
 
 
 def wait_until_ready(running, mesh):
-    """Wait until every daemon says that it is ready."""
+    """Wait until every daemon reports that it is ready."""
     probe = processes.build_probe()
     waiting = set(mesh.nodes)
 
@@ -225,42 +230,42 @@
     names = {node.service.name for node in mesh.nodes}
     waiting = {(node, name) for node in mesh.nodes for name in names}
 
-    def is_reached(node, name):
+    def can_reach(node, name):
         url = f"{node.entry_url}/services/{name}/probe?work=0"
         answer = probe(url, headers=PROBE_HEADERS)
         return answer is not None and answer.status == 200
 
-    def are_reached():
-        waiting.difference_update([pair for pair in waiting if is_reached(*pair)])
+    def can_reach_all():
+        waiting.difference_update([pair for pair in waiting if can_reach(*pair)])
         return not waiting
 
-    running.wait_until("all services reached", are_reached, START_TIMEOUT)
+    running.wait_until("all services reached", can_reach_all, START_TIMEOUT)
 
 
 def wait_until_in_force(running, mesh):
-    """Wait until every daemon knows the resources.
+    """Wait until every daemon applies the resources.
 
-    A payout without a key is refused by 400 once the resources are in force.
-    Before that it would run, under no key, which no caller was promised
-    anything about.
+    Once the resources apply, a payout without an idempotency key is refused with
+    400. Before that the payout runs without a key, so that no guarantee covers
+    it.
     """
     probe = processes.build_probe()
     waiting = set(mesh.nodes)
 
-    def is_aware(node):
+    def has_resources(node):
         url = f"{node.entry_url}/services/royalties/payouts?work=0"
         answer = probe(url, "POST", PROBE_HEADERS)
         return answer is not None and answer.status == 400
 
-    def are_aware():
-        waiting.difference_update([node for node in waiting if is_aware(node)])
+    def have_resources():
+        waiting.difference_update([node for node in waiting if has_resources(node)])
         return not waiting
 
-    running.wait_until("resources in force", are_aware, START_TIMEOUT)
+    running.wait_until("resources in force", have_resources, START_TIMEOUT)
 
 
 def stop_mesh(running, mesh):
-    """Stop backend servers, then daemons, then the log, each gracefully.
+    """Stop backend servers, then daemons, then the log, all gracefully.
 
     Returns:
         Names of the processes that had to be killed or ended with an error.
@@ -270,10 +275,10 @@
 
 
 def read_runs(nodes):
-    """Add up what all backend servers say that they ran.
+    """Add up the execution counts of all backend servers.
 
     Returns:
-        Runs by key and runs by request, as two dictionaries.
+        Two dictionaries: executions by idempotency key and by request identifier.
     """
     probe = processes.build_probe(timeout=10.0)
     by_key, by_request = {}, {}
@@ -285,6 +290,6 @@
 
 
 def add_counts(total, counts):
-    """Add counts by name to a total."""
+    """Add counts by name to a dictionary of totals."""
     for name, count in counts.items():
         total[name] = total.get(name, 0) + count
--- a/demo/report.py
+++ b/demo/report.py
@@ -1,4 +1,4 @@
-"""What the demo prints of a phase, and which promises the phase broke."""
+"""Reports of a phase of the demo and checks of the guarantees to callers."""
 
 import itertools
 import json
@@ -8,134 +8,139 @@
 
 from standins import trace
 
-# Rows of the table, the most important first.
+# Rows of the table by importance, in descending order.
 ROWS = tuple(reversed(trace.IMPORTANCES))
 COLUMNS = ("whole", "failed", "not run", "unknown")
-BY_OUTCOME = {"completed": "failed", "not-run": "not run", "unknown": "unknown"}
-# A caller that sends later than this after the due time was short of threads,
-# and the load was less than meant.
-LATE = 0.25
-# Above this share of late sends the table shows the machine, not the mesh: on an
-# idle machine of 8 cores hardly any is late, beside other work half of them were.
-MACHINE_BOUND = 0.05
-# A fault or two among the few most important requests is no upset order.
-SLACK = 0.02
-
-
-class Promise(NamedTuple):
-    """One promise and how often it was broken.
+COLUMN_BY_OUTCOME = {"completed": "failed", "not-run": "not run", "unknown": "unknown"}
+# Seconds after its due time from which a request counts as sent late: the caller
+# had no free thread, and the load was lower than intended.
+LATE_THRESHOLD = 0.25
+# Above this share of late requests the table shows the limits of the machine instead
+# of those of the mesh. On an idle machine of 8 cores hardly any request is late, next
+# to other work half of them are.
+MAX_LATE_SHARE = 0.05
+# Tolerated difference of the shares of two importances: one or two failures among
+# the few most important requests don't violate the order.
+SHARE_TOLERANCE = 0.02
+
+
+class Guarantee(NamedTuple):
+    """A guarantee and the number of its violations.
 
     Attributes:
-        text: What was promised.
-        broken: Times it was broken.
-        example: Request or key of one of these, or "".
+        text: Description of a violation.
+        violations: Number of violations.
+        example: Request identifier or idempotency key of one violation, "" for
+            none.
     """
 
     text: str
-    broken: int
+    violations: int
     example: str = ""
 
 
-def judge_result(result):
-    """Return the column of a request: what its caller knows in the end.
+def classify_result(result):
+    """Return the column of a request, the outcome as far as its caller knows.
 
-    A request refused in the end isn't "not run" if an earlier time it was
-    asked ended in "unknown": that time it may have run.
+    A request whose last attempt was refused isn't "not run" if an earlier
+    attempt has the outcome "unknown": that attempt may have run.
     """
     if any(sent.succeeded for sent in result.sent):
         return "whole"
     outcomes = {sent.outcome for sent in result.sent}
     for outcome in ("unknown", "completed", "not-run"):
         if outcome in outcomes:
-            return BY_OUTCOME[outcome]
+            return COLUMN_BY_OUTCOME[outcome]
     return "unknown"
 
 
-def form_table(title, results, seconds):
-    """Return the lines of a phase's table, a row for each importance."""
-    counts = Counter((result.importance, judge_result(result)) for result in results)
-    lines = [title, form_row("importance", ["asked", *COLUMNS, "whole %", "whole/s"])]
+def format_table(title, results, seconds):
+    """Return the lines of a phase's table, with a row for each importance."""
+    counts = Counter((result.importance, classify_result(result)) for result in results)
+    lines = [title, format_row("importance", ["asked", *COLUMNS, "whole %", "whole/s"])]
     for row in (*ROWS, "all"):
         rows = ROWS if row == "all" else (row,)
         cells = [sum(counts[each, column] for each in rows) for column in COLUMNS]
-        lines.append(form_row(row, form_cells(cells, seconds)))
+        lines.append(format_row(row, format_cells(cells, seconds)))
     return lines
 
 
-def form_cells(cells, seconds):
-    """Return a row's cells: the sum, the columns, the share and rate of whole."""
+def format_cells(cells, seconds):
+    """Return a row's cells: the total, `COLUMNS`, share and rate of whole requests."""
     asked = sum(cells)
     share = f"{100 * cells[0] / asked:.1f}" if asked else "-"
     return [asked, *cells, share, f"{cells[0] / seconds:.1f}"]
 
 
-def form_row(name, cells):
-    """Return one line of a table."""
+def format_row(name, cells):
+    """Return a formatted line of a table."""
     return f"  {name:<11}" + "".join(f"{cell:>10}" for cell in cells)
 
 
-def form_notes(results):
-    """Return lines on the callers' side: times asked, latency, lateness."""
+def format_notes(results):
+    """Return lines on attempts, retries, latency, reasons and late requests."""
     sent = [each for result in results for each in result.sent]
-    late = sum(result.late > LATE for result in results)
-    whole = [result.latency for result in results if judge_result(result) == "whole"]
+    late = sum(result.late > LATE_THRESHOLD for result in results)
+    whole = [result.latency for result in results if classify_result(result) == "whole"]
     reasons = Counter(each.reason for each in sent if each.reason not in ("", "none"))
     listed = ", ".join(f"{name} {count}" for name, count in reasons.most_common(6))
     lines = [
         f"  sent {len(sent)} times; most retries caused by one request: "
         f"{max((each.retries for each in sent), default=0)}",
         f"  whole requests: median {find_quantile(whole, 0.5) * 1000:.0f} ms, "
-        f"p99 {find_quantile(whole, 0.99) * 1000:.0f} ms from due to whole answer",
+        f"p99 {find_quantile(whole, 0.99) * 1000:.0f} ms from due time to response",
         f"  reasons: {listed or 'none'}",
     ]
     if late:
-        lines.append(f"  sent more than {LATE} s late, for want of threads: {late}")
-    if late > MACHINE_BOUND * len(results):
         lines.append(
-            "  this machine was the limit, not the mesh: of this phase only the "
-            "promises below say anything"
+            f"  sent more than {LATE_THRESHOLD} s late, all threads busy: {late}"
+        )
+    if late > MAX_LATE_SHARE * len(results):
+        lines.append(
+            "  this machine was the limit, not the mesh: in this phase only the "
+            "guarantees below are meaningful"
         )
     return lines
 
 
 def find_quantile(values, share):
-    """Return the smallest value that `share` of all values don't exceed."""
+    """Return the smallest value that is not exceeded by `share` of the values."""
     ordered = sorted(values)
     if not ordered:
         return math.nan
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
 
 
-def check_promises(results, by_key, by_request, budgets):
-    """Hold what callers were told against what the backend servers ran.
+def check_guarantees(results, by_key, by_request, budgets):
+    """Compare the outcomes reported to callers with the backend servers' counts.
 
-    `check_order` adds the promise that holds under overload.
+    The guarantee under overload is checked by `check_order`.
 
     Args:
         results: `caller.Result` of every request.
-        by_key: Runs by idempotency key, over all backend servers.
-        by_request: Runs by request identifier, over all backend servers.
-        budgets: Retry budget by service.
+        by_key: Executions by idempotency key, over all backend servers.
+        by_request: Executions by request identifier, over all backend servers.
+        budgets: Retry budget by service name.
 
     Returns:
-        A list of `Promise`.
+        A list of `Guarantee`.
     """
     sent = [(result, each) for result in results for each in result.sent]
     keyed = [result for result in results if result.key]
     return [
-        count_broken(
+        count_violations(
             "payouts run twice",
             [each.key for each in keyed if by_key.get(each.key, 0) > 1],
         ),
-        count_broken(
+        count_violations(
             "payouts reported whole that never ran",
             [
                 each.key
                 for each in keyed
-                if judge_result(each) == "whole" and not by_key.get(each.key)
+                if classify_result(each) == "whole" and not by_key.get(each.key)
             ],
         ),
-        count_broken(
+        count_violations(
             "requests reported as not run that ran",
             [
                 each.request
@@ -143,7 +148,7 @@
                 if each.outcome == "not-run" and by_request.get(each.request)
             ],
         ),
-        count_broken(
+        count_violations(
             "requests that caused more retries than their budget",
             [
                 each.request
@@ -151,8 +156,8 @@
                 if each.retries > budgets[result.service]
             ],
         ),
-        count_broken(
-            "answers that weren't whole or another's",
+        count_violations(
+            "answers that were incomplete or another request's",
             [
                 each.request
                 for _, each in sent
@@ -163,91 +168,98 @@
 
 
 def check_order(results, service):
-    """Check that the more important work completes the larger share.
+    """Check that more important requests complete with a higher share.
 
-    Only requests that need the overloaded service are compared: what goes
-    elsewhere completes whatever its importance.
+    Only requests that need the overloaded service are compared: others complete
+    whatever their importance.
 
     Args:
         results: `caller.Result` of every request.
         service: Name of the service that is overloaded.
 
     Returns:
-        A `Promise`.
+        A `Guarantee`.
     """
     shares = []
     for row in ROWS:
         columns = [
-            judge_result(result)
+            classify_result(result)
             for result in results
             if result.importance == row and needs_service(result, service)
         ]
         if columns:
             shares.append((row, columns.count("whole") / len(columns)))
-    upset = [
+    violated_pairs = [
         f"{lower} above {upper}"
-        for (upper, more), (lower, less) in itertools.pairwise(shares)
-        if less > more + SLACK
+        for (upper, upper_share), (lower, lower_share) in itertools.pairwise(shares)
+        if lower_share > upper_share + SHARE_TOLERANCE
     ]
-    return count_broken("less important work that was served before more", upset)
+    return count_violations(
+        "less important work that was preferred to more important work", violated_pairs
+    )
 
 
-def form_goodput(results, service, capacity, seconds):
-    """Return a line on the whole requests that needed a service."""
+def format_goodput(results, service, capacity, seconds):
+    """Return a line with the rate of whole requests that needed a service."""
     whole = sum(
-        needs_service(result, service) and judge_result(result) == "whole"
+        needs_service(result, service) and classify_result(result) == "whole"
         for result in results
     )
     return (
         f"  whole requests that needed {service}: {whole / seconds:.1f}/s "
-        f"of the {capacity:.0f}/s that it can carry"
+        f"of its capacity of {capacity:.0f}/s"
     )
 
 
 def needs_service(result, service):
-    """Return whether a request calls a service, at any depth."""
+    """Return whether a request needs a service, itself or by a nested call."""
     calls = [call.partition("/")[0] for call in result.next.split(",")]
     return service in (result.service, *calls)
 
 
-def count_broken(text, examples):
-    """Return a `Promise` from what broke it."""
-    return Promise(text, len(examples), examples[0] if examples else "")
+def count_violations(text, examples):
+    """Return a `Guarantee` with its violations.
+
+    Args:
+        text: Description of a violation.
+        examples: Request identifier or idempotency key of each violation.
+    """
+    return Guarantee(text, len(examples), examples[0] if examples else "")
 
 
-def form_promises(promises):
-    """Return a line for each promise."""
+def format_guarantees(guarantees):
+    """Return a line for each guarantee."""
     return [
-        f"  {promise.text}: {promise.broken}"
-        + (f" (BROKEN, e.g. {promise.example})" if promise.broken else "")
-        for promise in promises
+        f"  {guarantee.text}: {guarantee.violations}"
+        + (f" (VIOLATED, e.g. {guarantee.example})" if guarantee.violations else "")
+        for guarantee in guarantees
     ]
 
 
 def read_budgets(path):
-    """Return the retry budget of each service from a file of resources."""
+    """Return the retry budget of each service in a file of resources."""
     resources = json.loads(path.read_text())
     return {each["name"]: each["spec"]["retry_budget"] for each in resources}
 
 
-def form_latency(direct, added):
-    """Return lines that compare a chain with and without daemons.
+def format_latency(direct, through_daemons):
+    """Return lines that compare the latency of a chain with and without daemons.
 
     Args:
-        direct: Seconds of each chain without daemons.
-        added: Seconds of each chain through daemons.
+        direct: Latencies in seconds without daemons.
+        through_daemons: Latencies in seconds through daemons.
     """
-    lines = [form_row("chain", ["median ms", "p99 ms"])]
+    lines = [format_row("chain", ["median ms", "p99 ms"])]
     quantiles = {}
-    for name, values in (("direct", direct), ("daemons", added)):
+    for name, values in (("direct", direct), ("daemons", through_daemons)):
         quantiles[name] = [1000 * find_quantile(values, at) for at in (0.5, 0.99)]
         cells = [f"{value:.2f}" for value in quantiles[name]]
-        lines.append(form_row(name, cells))
+        lines.append(format_row(name, cells))
     pairs = tuple(zip(quantiles["direct"], quantiles["daemons"], strict=True))
     lines.append(
-        form_row("added", [f"{after - before:.2f}" for before, after in pairs])
+        format_row("added", [f"{after - before:.2f}" for before, after in pairs])
     )
     lines.append(
-        form_row("ratio", [f"{after / before:.2f}" for before, after in pairs])
+        format_row("ratio", [f"{after / before:.2f}" for before, after in pairs])
     )
     return lines
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,11 +1,11 @@
-"""The Press's mesh on this machine: an ordinary day, then three times too much.
-
-Starts the stand-in log, 16 backend servers and a daemon beside each, applies
-the resources, compares a chain with and without daemons, plays the recorded
-trace as it is, then at three times what submissions can carry with callers that
-retry hard. Holds what the callers were told against what the backend servers
-ran, and ends with 1 if a promise was broken, with 2 if the mesh didn't come up
-or didn't stop by itself.
+"""Demo of the Press's mesh on this machine: an ordinary day, then overload.
+
+Starts the stand-in log and 16 backend servers with their daemons, applies the
+resources, compares a chain with and without daemons, and plays the recorded trace
+at its own rate, then at three times the capacity of submissions, with callers
+that retry aggressively. Compares the outcomes that were reported to callers with
+the requests that the backend servers executed. The exit status is 1 if a guarantee
+was violated, 2 if the mesh didn't start or didn't stop on its own.
 """
 
 import argparse
@@ -21,15 +21,16 @@
 
 TRACE = pathlib.Path(__file__).with_name("press.jsonl")
 OVERLOADED = "submissions"
-OVERLOAD = 3.0
-# The first plays the whole trace. Both leave a margin under a minute in all.
+OVERLOAD_FACTOR = 3.0
+# The ordinary phase plays the whole trace once. Both phases together leave a margin
+# for a total time below one minute.
 ORDINARY_SECONDS = 12.0
 OVERLOAD_SECONDS = 10.0
 CALLERS = 3
 CALLER_THREADS = 160
 PHASE_TIMEOUT = ORDINARY_SECONDS + 20.0
-CHAINS = 150
-WARM_UP = 15
+MEASURED_ROUNDS = 150
+WARM_UP_ROUNDS = 15
 CHAIN = trace.Request(
     0.0,
     "catalog",
@@ -39,18 +40,18 @@
     timeout=5.0,
 )
 
-BROKEN, FAILED = 1, 2
+EXIT_VIOLATED, EXIT_FAILED = 1, 2
 
 
 class Phase(NamedTuple):
-    """One playing of the trace.
+    """A phase of the demo, which plays the trace at one rate.
 
     Attributes:
-        name: Name in the callers' output files, different for each phase.
-        title: Title of its table.
+        name: Unique name, part of the names of the callers' output files.
+        title: Title of the phase's table.
         rate: Multiple of the recorded rate.
-        seconds: How long it is played.
-        overloaded: Name of the service that gets too much, "" for none.
+        seconds: Length of the phase.
+        overloaded: Name of the overloaded service, "" for none.
     """
 
     name: str
@@ -61,7 +62,7 @@
 
 
 class Interrupted(Exception):
-    """SIGINT or SIGTERM came."""
+    """SIGINT or SIGTERM was received."""
 
 
 def main(arguments=None):
@@ -70,7 +71,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--output", help="directory for the processes' output")
     options = parser.parse_args(arguments)
-    # Also SIGINT: a shell starts background jobs with it ignored.
+    # SIGINT is set too, because a shell starts background jobs with SIGINT ignored.
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, raise_interrupted)
     try:
@@ -82,18 +83,18 @@
     except processes.NotReady as error:
         print(f"error: {error}", file=sys.stderr)
     except Interrupted:
-        print("interrupted; everything was stopped", file=sys.stderr)
-    return FAILED
+        print("interrupted; all processes were stopped", file=sys.stderr)
+    return EXIT_FAILED
 
 
 def raise_interrupted(*_):
-    """Turn a signal into an exception, so that the processes get stopped."""
+    """Raise `Interrupted` on a signal, so that the processes are stopped."""
     raise Interrupted
 
 
 def run(running, seed):
-    """Start, measure, play both phases, stop; return the exit status."""
-    began = time.monotonic()
+    """Start the mesh, measure, play both phases, stop; return the exit status."""
+    started_at = time.monotonic()
     nodes = mesh.place_nodes()
     press = mesh.start_mesh(running, nodes)
     steps = (
@@ -104,27 +105,30 @@
     )
     for name, step in steps:
         step(running, press)
-        say(f"{name} after {time.monotonic() - began:.1f} s")
-    say("", "the same chain of three services, one at a time, no service time:")
-    say(*report.form_latency(*measure_chain(nodes)))
-    promises = play_phases(running, nodes, seed)
+        print_lines(f"{name} after {time.monotonic() - started_at:.1f} s")
+    print_lines(
+        "",
+        "latency of a chain of three services, sequential requests, no service time:",
+    )
+    print_lines(*report.format_latency(*measure_chain(nodes)))
+    guarantees = play_phases(running, nodes, seed)
     stopping = time.monotonic()
     killed = mesh.stop_mesh(running, press)
-    say("", f"everything stopped within {time.monotonic() - stopping:.1f} s")
+    print_lines("", f"all processes stopped within {time.monotonic() - stopping:.1f} s")
     if killed:
-        say(f"didn't stop by themselves: {', '.join(killed)}")
-    say(f"took {time.monotonic() - began:.1f} s")
-    if any(promise.broken for promise in promises):
-        return BROKEN
-    return FAILED if killed else 0
+        print_lines(f"killed or ended with an error: {', '.join(killed)}")
+    print_lines(f"took {time.monotonic() - started_at:.1f} s")
+    if any(guarantee.violations for guarantee in guarantees):
+        return EXIT_VIOLATED
+    return EXIT_FAILED if killed else 0
 
 
 def play_phases(running, nodes, seed):
-    """Play the trace as it is, then as an overload; return all promises."""
+    """Play the trace as recorded, then as an overload; return all guarantees."""
     requests = trace.read_trace(TRACE.read_text().splitlines())
-    rate = find_overload(requests)
+    rate = get_overload_rate(requests)
     ordinary = "an ordinary day, as recorded"
-    overload = f"{OVERLOADED} asked for {OVERLOAD:.0f} times what it can carry"
+    overload = f"{OVERLOADED} at {OVERLOAD_FACTOR:.0f} times its capacity"
     return [
         *play_phase(
             running, nodes, seed, Phase("ordinary", ordinary, 1.0, ORDINARY_SECONDS)
@@ -138,15 +142,17 @@
     ]
 
 
-def find_overload(requests):
-    """Return the multiple of the trace that is `OVERLOAD` for the service."""
-    wanted = sum(report.needs_service(request, OVERLOADED) for request in requests)
-    recorded = wanted / trace.find_length(requests)
-    return OVERLOAD * find_capacity() / recorded
+def get_overload_rate(requests):
+    """Return the rate at which the trace is `OVERLOAD_FACTOR` times the capacity."""
+    request_count = sum(
+        report.needs_service(request, OVERLOADED) for request in requests
+    )
+    recorded = request_count / trace.find_length(requests)
+    return OVERLOAD_FACTOR * get_capacity() / recorded
 
 
-def find_capacity():
-    """Return the requests a second that the overloaded service can carry."""
+def get_capacity():
+    """Return the capacity of the overloaded service in requests per second."""
     (capacity,) = (
         service.capacity for service in mesh.SERVICES if service.name == OVERLOADED
     )
@@ -154,22 +160,24 @@
 
 
 def play_phase(running, nodes, seed, phase):
-    """Play one phase by several callers; print and return the promises."""
+    """Play a phase, print its results and return its guarantees."""
     results = play_trace(running, nodes, seed, phase)
     by_key, by_request = mesh.read_runs(nodes)
     budgets = report.read_budgets(mesh.RESOURCES)
-    promises = report.check_promises(results, by_key, by_request, budgets)
+    guarantees = report.check_guarantees(results, by_key, by_request, budgets)
     if phase.overloaded:
-        promises.append(report.check_order(results, phase.overloaded))
+        guarantees.append(report.check_order(results, phase.overloaded))
     title = f"{phase.title} (x{phase.rate:.2f})"
-    say("", *report.form_table(title, results, phase.seconds))
-    say(report.form_goodput(results, OVERLOADED, find_capacity(), phase.seconds))
-    say(*report.form_notes(results), *report.form_promises(promises))
-    return promises
+    print_lines("", *report.format_table(title, results, phase.seconds))
+    print_lines(
+        report.format_goodput(results, OVERLOADED, get_capacity(), phase.seconds)
+    )
+    print_lines(*report.format_notes(results), *report.format_guarantees(guarantees))
+    return guarantees
 
 
 def play_trace(running, nodes, seed, phase):
-    """Play the trace by several caller processes and return all results."""
+    """Play the trace by `CALLERS` processes and return all results."""
     arguments = {
         "--trace": TRACE,
         "--entries": ",".join(node.entry_url for node in nodes),
@@ -199,18 +207,18 @@
         for process in callers
         for line in (running.directory / f"{process.name}.results").open()
     ]
-    check_count(results, phase)
+    check_result_count(results, phase)
     return results
 
 
-def check_count(results, phase):
+def check_result_count(results, phase):
     """Check that there is one result for each request of a phase.
 
-    Results of another phase among them, or lost ones, would make every share
-    and rate of the table wrong without a sign of it.
+    Lost results, or results of another phase, would make every share and rate of
+    the table wrong without an error.
 
     Raises:
-        processes.NotReady: When there are more or fewer.
+        processes.NotReady: When the numbers differ.
     """
     requests = trace.read_trace(TRACE.read_text().splitlines())
     played = trace.schedule_requests(requests, phase.rate, phase.seconds)
@@ -222,29 +230,33 @@
 
 
 def measure_chain(nodes):
-    """Return the seconds of each chain without daemons, and through them.
+    """Return the latencies of a chain without daemons and through daemons.
+
+    The two alternate, so that other load of the machine affects both equally. A
+    round with a failure is skipped: on a busy machine it says nothing about the
+    guarantees.
 
-    The two take turns, so that what else the machine does meets both alike. A
-    turn that fails is left out: on a busy machine it says nothing of the promises.
+    Returns:
+        Two lists of latencies in seconds.
     """
     catalogs = [node for node in nodes if node.service.name == "catalog"]
     backends = [node.backend_url for node in catalogs]
     entries = [node.entry_url for node in catalogs]
-    ways = (sender.build_sender(backends, direct=True), sender.build_sender(entries))
+    senders = (sender.build_sender(backends, direct=True), sender.build_sender(entries))
     seconds = ([], [])
-    for turn in range(WARM_UP + CHAINS):
-        pair = [send(CHAIN) for send in ways]
+    for turn in range(WARM_UP_ROUNDS + MEASURED_ROUNDS):
+        pair = [send(CHAIN) for send in senders]
         failed = [sent for sent in pair if not sent.succeeded]
         if failed:
-            say(f"  turn {turn} is left out, the chain failed: {failed[0]}")
-        elif turn >= WARM_UP:
-            for taken, sent in zip(seconds, pair, strict=True):
-                taken.append(sent.latency)
+            print_lines(f"  round {turn} skipped, the chain failed: {failed[0]}")
+        elif turn >= WARM_UP_ROUNDS:
+            for latencies, sent in zip(seconds, pair, strict=True):
+                latencies.append(sent.latency)
     return seconds
 
 
-def say(*lines):
-    """Print lines at once."""
+def print_lines(*lines):
+    """Print lines and flush standard output."""
     print(*lines, sep="\n", flush=True)
 
 
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -83,7 +83,7 @@
     return str(uuid.UUID(int=value))
 
 
-def send_until_done(send, request, retry, draw):
+def send_with_retries(send, request, retry, draw):
     """Send a request until it is completed or no retry is possible.
 
     The idempotency key stays the same also after an unknown outcome: the daemons
@@ -158,7 +158,7 @@
         draw = random.Random(f"{seed}-{number}")
         while (request := due.get()) is not None:
             late = time.monotonic() - started_at - request.at
-            key, sent = send_until_done(send, request, retry, draw)
+            key, sent = send_with_retries(send, request, retry, draw)
             latency = time.monotonic() - started_at - request.at
             results.append(
                 Result(
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a small mesh on this machine: started, awaited, always stopped."""
+"""Starting, awaiting and reliably stopping the processes of a local mesh."""
 
 import contextlib
 import pathlib
@@ -13,15 +13,15 @@
 
 import urllib3
 
-STOP_TIMEOUT = 12.0
-POLL_INTERVAL = 0.05
-# Below the ports that the system gives to outgoing connections: one of these would
-# have the port of a process that is down for a moment.
+STOP_TIMEOUT = 12.0  # seconds
+POLL_INTERVAL = 0.05  # seconds
+# Below the system's range for outgoing connections, one of which could otherwise
+# occupy the port of a process that is restarting.
 FIRST_PORT, LAST_PORT = 20_000, 32_000
 
 
 class Process(NamedTuple):
-    """A process that was started.
+    """A started process.
 
     Attributes:
         name: Name of its log file.
@@ -33,28 +33,34 @@
 
 
 class NotReady(Exception):
-    """A process ended, or wasn't ready in time."""
+    """A process ended unexpectedly or wasn't ready in time."""
 
 
 class Processes:
-    """The processes started, in their order."""
+    """Started processes in their order, stopped when the context ends.
+
+    Attributes:
+        directory: Directory of the output files.
+        killed: Names of the processes that had to be killed or ended with an
+            error.
+    """
 
     def __init__(self, directory):
-        """Begin with no process.
+        """Create a group without processes.
 
         Args:
-            directory: Where each process's output goes.
+            directory: Directory of the output files, one for each process.
         """
         self.directory = pathlib.Path(directory)
         self.killed = []
         self._running = []
-        self._started = set()
+        self._started_names = set()
 
     def __enter__(self):
         return self
 
     def __exit__(self, *_):
-        # A second signal while stopping would leave processes behind.
+        # A second signal during the stop would leave processes running.
         signals = (signal.SIGINT, signal.SIGTERM)
         previous = [signal.signal(number, signal.SIG_IGN) for number in signals]
         try:
@@ -66,14 +72,15 @@
     def start(self, name, module, arguments, env=None, keep=False):
         """Start ``python -m module`` and return its `Process`.
 
-        With `keep` its output goes behind that of a former process of this
-        name, as the trace of a daemon that was replaced needs. It gets a
-        session of its own: Ctrl-C reaches only this process, which then stops
-        the others in their order.
+        With `keep` its output is appended to that of an earlier process of the
+        same name, so that the trace of a replaced daemon isn't lost. Each process
+        runs in a new session: Ctrl-C reaches only the parent process, which then
+        stops the others in their order.
         """
-        # What an earlier run left in the directory would be taken for this one's.
-        mode = "ab" if keep and name in self._started else "wb"
-        self._started.add(name)
+        # The first start overwrites the output of an earlier run in the same
+        # directory, so that it isn't mistaken for output of this run.
+        mode = "ab" if keep and name in self._started_names else "wb"
+        self._started_names.add(name)
         output = (self.directory / f"{name}.log").open(mode)
         with output:
             popen = subprocess.Popen(
@@ -89,54 +96,56 @@
         return process
 
     def finish(self, processes, timeout):
-        """Wait until processes have ended by themselves.
+        """Wait until processes have ended on their own.
 
         Args:
             processes: Iterable of `Process`.
             timeout: Seconds for all of them together.
 
         Raises:
-            NotReady: When one failed or didn't end in time.
+            NotReady: When a process failed or didn't end in time.
         """
         processes = list(processes)
         until = time.monotonic() + timeout
         for process in processes:
             with contextlib.suppress(subprocess.TimeoutExpired):
                 process.popen.wait(max(0.0, until - time.monotonic()))
-        bad = [each.name for each in processes if each.popen.returncode != 0]
+        failed = [each.name for each in processes if each.popen.returncode != 0]
         self.stop(processes)
-        if bad:
-            raise NotReady(f"{bad[0]} failed:\n{self.read_end(bad[0])}")
+        if failed:
+            raise NotReady(f"{failed[0]} failed:\n{self.read_end(failed[0])}")
 
     def stop(self, processes):
-        """Stop processes together by SIGTERM, and kill what stays.
+        """Stop processes concurrently by SIGTERM; kill those that don't end in time.
 
         Returns:
-            Names of those that had to be killed or ended with an error.
+            Names of the processes that had to be killed or ended with an error.
         """
         processes = list(processes)
         for process in processes:
             with contextlib.suppress(ProcessLookupError):
                 process.popen.terminate()
         until = time.monotonic() + STOP_TIMEOUT
-        bad = [process.name for process in processes if not _end(process, until)]
+        failed = [process.name for process in processes if not _end(process, until)]
         self._running = [each for each in self._running if each not in processes]
-        self.killed += bad
-        return bad
+        self.killed += failed
+        return failed
 
     def forget(self, process):
-        """Leave out a process that was ended on purpose."""
+        """Stop tracking a process that was ended deliberately."""
         self._running.remove(process)
 
     def check(self):
         """Raise if a process has ended.
 
         Raises:
-            NotReady: With its name and the end of its output.
+            NotReady: When one has; the message has its name and last output lines.
         """
         for process in self._running:
             if process.popen.poll() is not None:
-                raise NotReady(f"{process.name} ended:\n{self.read_end(process.name)}")
+                raise NotReady(
+                    f"{process.name} ended unexpectedly:\n{self.read_end(process.name)}"
+                )
 
     def read_end(self, name, lines=12):
         """Return the last lines of a process's output."""
@@ -144,23 +153,28 @@
         return "\n".join(text.splitlines()[-lines:])
 
     def wait_until(self, what, condition, timeout):
-        """Poll a condition until it holds.
+        """Poll a condition until it is true.
+
+        Args:
+            what: Description of the condition for the error message.
+            condition: Function that returns whether the condition is true.
+            timeout: Seconds.
 
         Raises:
-            NotReady: When it doesn't hold in time or a process has ended.
+            NotReady: When the timeout has passed or a process has ended.
         """
         until = time.monotonic() + timeout
         while not condition():
             self.check()
             if time.monotonic() > until:
-                raise NotReady(f"{what}: not within {timeout} s")
+                raise NotReady(f"{what}: timed out after {timeout} s")
             time.sleep(POLL_INTERVAL)
 
 
 def _end(process, until):
     try:
-        left = max(0.0, until - time.monotonic())
-        return process.popen.wait(left) in (0, -signal.SIGTERM)
+        remaining = max(0.0, until - time.monotonic())
+        return process.popen.wait(remaining) in (0, -signal.SIGTERM)
     except subprocess.TimeoutExpired:
         process.popen.kill()
         process.popen.wait()
@@ -169,25 +183,25 @@
 
 @contextlib.contextmanager
 def keep_output(directory=None):
-    """Give a directory for processes' output, a passing one unless one is named."""
+    """Yield a directory for output files, a temporary one if `directory` is None."""
     if directory is None:
-        with tempfile.TemporaryDirectory(prefix="whinwinch-") as passing:
-            yield passing
+        with tempfile.TemporaryDirectory(prefix="whinwinch-") as temporary:
+            yield temporary
         return
     pathlib.Path(directory).mkdir(parents=True, exist_ok=True)
     yield directory
 
 
 def find_ports(count):
-    """Return free TCP ports of the loopback address, all different."""
+    """Return distinct free TCP ports of the loopback address."""
     draw = random.SystemRandom()
     ports = []
     with contextlib.ExitStack() as stack:
         while len(ports) < count:
             port = draw.randint(FIRST_PORT, LAST_PORT)
-            taken = stack.enter_context(socket.socket())
+            bound_socket = stack.enter_context(socket.socket())
             try:
-                taken.bind(("127.0.0.1", port))
+                bound_socket.bind(("127.0.0.1", port))
             except OSError:
                 continue
             ports.append(port)
@@ -195,7 +209,10 @@
 
 
 def build_probe(timeout=2.0):
-    """Return a function from method and URL to the answer, None for none."""
+    """Return a function that sends an HTTP request.
+
+    It returns the response, or None if there is none within `timeout` seconds.
+    """
     http = urllib3.PoolManager(num_pools=64, retries=False, timeout=timeout)
 
     def probe(url, method="GET", headers=None):
--- a/test/standins/__init__.py
+++ b/test/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins."""
+"""Tests of the stand-ins and the demo."""
--- a/test/standins/test_backend.py
+++ b/test/standins/test_backend.py
@@ -8,11 +8,11 @@
 
 from standins import announcement, backend, outgoing, serving
 
-ANYWHERE = serving.Address("127.0.0.1", 0)
+LOOPBACK = serving.Address("127.0.0.1", 0)
 
 
 def start(test, settings):
-    server, load = backend.build_server(ANYWHERE, settings)
+    server, load = backend.build_server(LOOPBACK, settings)
     serving.start_server(server)
     test.addCleanup(server.stop)
     return f"http://{serving.find_address(server)}", load
@@ -34,11 +34,11 @@
         self.assertEqual((below["service"], below["path"]), ("archive", "/x"))
         self.assertEqual((below["marker"], below["request"]), ("m7", "r1"))
 
-    def test_next_call_keeps_the_rest(self):
+    def test_next_call_passes_on_the_following_calls(self):
         (call,) = outgoing.parse_next("archive,royalties/payouts", "/list")
         self.assertEqual(call, outgoing.Call("archive", "/list", "royalties/payouts"))
 
-    def test_call_to_nowhere(self):
+    def test_call_to_a_service_without_an_address(self):
         url, _ = start(self, backend.Settings("catalog", 1, 0.0))
         answer = self.http.request("GET", f"{url}/list?direct=1&next=archive")
         self.assertEqual(answer.status, 502)
@@ -52,9 +52,9 @@
         self.assertEqual(ran, {"keys": {"k": 2}, "requests": {"r": 2}})
 
     def test_sheds_load(self):
-        """Every slot is taken and nothing may wait; a caller gets 503 at once.
+        """All slots are occupied and there is no queue: a caller gets 503 at once.
 
-        What was shed isn't counted as run.
+        A request that was shed must not be counted as executed.
         """
         url, load = start(self, backend.Settings("submissions", 1, 0.0))
         with load.hold_slot(0):
@@ -64,9 +64,9 @@
         self.assertEqual(load.report_runs()["requests"], {})
 
     def test_faults(self):
-        """A backend server breaks off in the middle of an answer, or before it.
+        """A backend server closes the connection in or before a response.
 
-        The caller sees a broken connection, though the request ran.
+        The caller sees a broken connection, although the request was executed.
         """
         url, load = start(self, backend.Settings("archive", 2, 0.0))
         body = {"half": 1, "lose_answers": 1, "errors": 1}
@@ -81,9 +81,9 @@
         self.assertEqual(load.report_runs()["requests"]["r"], 2)
 
     def test_deadline_frees_the_slot(self):
-        """A request takes far longer than its caller waits for it.
+        """A request takes far longer than its deadline allows.
 
-        It is given up at its deadline, and its slot is free for the next one.
+        It must end at the deadline and free its slot for the next request.
         """
         url, load = start(self, backend.Settings("archive", 1, 3600.0))
         headers = {"Whinwinch-Timeout": "1"}
@@ -92,15 +92,15 @@
         self.assertTrue(load.wait_until_idle(20))
 
     def test_announces_and_withdraws(self):
-        heard, seen = [], threading.Event()
+        received, announced = [], threading.Event()
 
         def answer(environ):
             body = serving.read_body(environ)
-            heard.append((environ["REQUEST_METHOD"], body and json.loads(body)))
-            seen.set()
+            received.append((environ["REQUEST_METHOD"], body and json.loads(body)))
+            announced.set()
             return serving.Reply(204)
 
-        daemon = serving.build_server(ANYWHERE, answer, 2)
+        daemon = serving.build_server(LOOPBACK, answer, 2)
         serving.start_server(daemon)
         self.addCleanup(daemon.stop)
         url = f"http://{serving.find_address(daemon)}"
@@ -110,9 +110,9 @@
         arguments = (settings, address, stopping)
         announcer = threading.Thread(target=announcement.announce, args=arguments)
         announcer.start()
-        self.assertTrue(seen.wait(20))
+        self.assertTrue(announced.wait(20))
         stopping.set()
         announcer.join(20)
-        self.assertEqual([method for method, _ in heard], ["PUT", "DELETE"])
-        self.assertEqual(heard[0][1]["address"], "127.0.0.1:9")
-        self.assertEqual(heard[0][1]["slots"], 7)
+        self.assertEqual([method for method, _ in received], ["PUT", "DELETE"])
+        self.assertEqual(received[0][1]["address"], "127.0.0.1:9")
+        self.assertEqual(received[0][1]["slots"], 7)
--- a/test/standins/test_caller.py
+++ b/test/standins/test_caller.py
@@ -12,7 +12,7 @@
 
 from standins import backend, caller, sender, serving, trace
 
-ANYWHERE = serving.Address("127.0.0.1", 0)
+LOOPBACK = serving.Address("127.0.0.1", 0)
 REQUEST = trace.Request(0.0, "archive", path="/x", timeout=30.0)
 
 
@@ -21,11 +21,11 @@
         requests = (REQUEST, REQUEST._replace(at=0.5, method="POST", key="new"))
         self.assertEqual(trace.read_trace(trace.write_trace(requests)), requests)
 
-    def test_bad_line_is_named(self):
+    def test_invalid_line_is_reported_by_number(self):
         with self.assertRaisesRegex(ValueError, "line 2"):
             trace.read_trace(['{"at": 0, "service": "a"}', '{"att": 0}'])
 
-    def test_rate_and_laps(self):
+    def test_rate_and_repetition(self):
         requests = tuple(REQUEST._replace(at=at) for at in (0.0, 1.0, 2.0, 3.0))
         played = trace.schedule_requests(requests, 2.0, 3.0)
         self.assertEqual(
@@ -36,12 +36,12 @@
 class CallerTest(unittest.TestCase):
     def start(self, service="archive", slots=2, direct=None):
         settings = backend.Settings(service, slots, 0.0, direct=direct or {})
-        server, load = backend.build_server(ANYWHERE, settings)
+        server, load = backend.build_server(LOOPBACK, settings)
         serving.start_server(server)
         self.addCleanup(server.stop)
         return f"http://{serving.find_address(server)}", load
 
-    def test_plays_a_chain_and_knows_it_is_whole(self):
+    def test_plays_a_chain_and_checks_that_it_is_complete(self):
         archive, _ = self.start()
         direct = {"archive": (archive.removeprefix("http://"),)}
         catalog, _ = self.start("catalog", direct=direct)
@@ -49,41 +49,41 @@
         send = sender.build_sender([catalog], direct=True)
         results = caller.play([request] * 5, send, caller.Retry.NONE, 2)
         self.assertEqual([result.last.succeeded for result in results], [True] * 5)
-        longer = request._replace(next="archive/x,archive/x")
-        self.assertFalse(sender.is_whole(b'{"service": "catalog"}', longer, "m"))
+        longer_chain = request._replace(next="archive/x,archive/x")
+        self.assertFalse(sender.is_whole(b'{"service": "catalog"}', longer_chain, "m"))
 
-    def test_swapped_answer_is_not_whole(self):
-        """The answer to another caller's request is delivered to this one."""
+    def test_answer_to_another_request_is_not_whole(self):
+        """A caller receives the answer to another caller's request."""
         body = b'{"service": "archive", "marker": "other", "below": []}'
         self.assertFalse(sender.is_whole(body, REQUEST, "own"))
         self.assertTrue(sender.is_whole(body, REQUEST, "other"))
 
-    def test_retries_hard_with_the_same_key(self):
-        """Every answer is lost after the work ran; the caller asks on.
+    def test_retries_with_the_same_key(self):
+        """Responses are lost after the work ran, and the caller retries.
 
-        Without a daemon the work runs each time, under one key.
+        Without a daemon the work runs at each attempt, with the same key.
         """
         url, load = self.start()
         load.set_faults({"lose_answers": 2})
         send = sender.build_sender([url], direct=True)
         request = REQUEST._replace(method="POST", key="new")
-        key, sent = caller.send_until_done(
+        key, sent = caller.send_with_retries(
             send, request, caller.Retry.HARD, random.Random(1)
         )
         outcomes = [each.outcome for each in sent]
         self.assertEqual(outcomes, ["unknown", "unknown", "completed"])
         self.assertEqual(load.report_runs()["keys"], {key: 3})
 
-    def test_deadline_passes_between_two_askings(self):
-        """The machine is busy and a pause lasts longer than was asked for.
+    def test_deadline_passes_between_two_attempts(self):
+        """On a busy machine a retry delay ends after the deadline.
 
-        The deadline is over by then. A caller that asked with a negative time
-        would die, and its traceback would stand among the results.
+        An attempt with a negative timeout would raise in the caller's thread and
+        write a traceback among the results.
         """
-        given = []
+        timeouts = []
 
         def send(request, key, timeout):
-            given.append(timeout)
+            timeouts.append(timeout)
             return sender.Sent("r", "not-run", "queue-full", 503, 0.05)
 
         class Draw:
@@ -94,23 +94,23 @@
         with unittest.mock.patch.object(
             caller.time, "sleep", lambda _, sleep=time.sleep: sleep(0.2)
         ):
-            _, sent = caller.send_until_done(send, request, caller.Retry.HARD, Draw())
+            _, sent = caller.send_with_retries(send, request, caller.Retry.HARD, Draw())
         self.assertEqual([each.outcome for each in sent], ["not-run"])
-        self.assertTrue(all(timeout > 0 for timeout in given))
+        self.assertTrue(all(timeout > 0 for timeout in timeouts))
 
-    def test_time_is_over_before_the_first_asking(self):
-        """A request waits for a thread until its time is over: it was not run."""
+    def test_deadline_passes_before_the_first_attempt(self):
+        """A request waits for a thread past its deadline: reported as not run."""
         request = REQUEST._replace(timeout=0.0)
-        _, sent = caller.send_until_done(
+        _, sent = caller.send_with_retries(
             None, request, caller.Retry.HARD, random.Random(1)
         )
         self.assertEqual([each.outcome for each in sent], ["not-run"])
         self.assertEqual(sent[0].reason, "deadline")
 
-    def test_thread_that_dies_is_reported(self):
-        """A thread of the caller raises; its request has no result.
+    def test_failed_thread_is_reported(self):
+        """A thread of the caller raises, and its request has no result.
 
-        Left alone, the results would be one short without a word of why.
+        Without a report, a result would be missing for no visible reason.
         """
 
         def send(request, key, timeout):
@@ -125,7 +125,7 @@
     def test_command_ends_with_2_and_keeps_results_apart(self):
         """A thread of the caller raises in the demo.
 
-        Its traceback must not stand where results are read.
+        Its traceback must not be written to the file of results.
         """
         with tempfile.TemporaryDirectory() as directory:
             path = pathlib.Path(directory)
@@ -143,7 +143,7 @@
             self.assertIn("boom", error.getvalue())
             self.assertEqual((path / "results").read_text(), "")
 
-    def test_nobody_there(self):
+    def test_request_without_a_server_is_not_run(self):
         url, _ = self.start()
         self.doCleanups()
         send = sender.build_sender([url], direct=True)
--- a/test/standins/test_log.py
+++ b/test/standins/test_log.py
@@ -60,17 +60,17 @@
         self.assertEqual([record["offset"] for record in page["records"]], [1, 2])
 
     def test_down(self):
-        """The log is in an outage; whoever appends or reads gets 503."""
+        """The log is down: appends get 503, and work again afterwards."""
         self.set_faults(down=True)
         self.assertEqual(self.append(b"a").status, 503)
         self.set_faults(down=False)
         self.assertEqual(self.append(b"a").json(), {"offset": 0})
 
     def test_lost_answer(self):
-        """The answer to an append is lost after the write has taken effect.
+        """The response to an append is lost after the append took effect.
 
-        The writer sees a broken connection and cannot tell whether its record
-        is there; a reader sees it.
+        The writer sees a broken connection and can't know whether the record
+        was written; a reader sees the record.
         """
         self.set_faults(lose_answers=1)
         with self.assertRaises(urllib3.exceptions.HTTPError):
@@ -78,5 +78,5 @@
         self.assertEqual(len(self.read("offset=0")["records"]), 1)
         self.assertEqual(self.append(b"b").json(), {"offset": 1})
 
-    def test_bad_input(self):
+    def test_invalid_offset(self):
         self.assertEqual(self.read("offset=x").keys(), {"error"})
--- a/test/standins/test_processes.py
+++ b/test/standins/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of the output files of processes that are started for a mesh."""
+"""Tests of the output files and ports of a mesh's processes."""
 
 import pathlib
 import tempfile
@@ -6,7 +6,7 @@
 
 from standins import processes
 
-WORDS = b"The Zen of Python"
+OUTPUT = b"The Zen of Python"
 
 
 class OutputTest(unittest.TestCase):
@@ -17,24 +17,24 @@
 
     def count_output(self, running, keep):
         running.finish([running.start("zen", "this", (), keep=keep)], 60.0)
-        return (self.path / "zen.log").read_bytes().count(WORDS)
+        return (self.path / "zen.log").read_bytes().count(OUTPUT)
 
-    def test_second_start_keeps_the_output_on_request(self):
+    def test_second_start_appends_to_the_output_on_request(self):
         with processes.Processes(self.path) as running:
             counts = [self.count_output(running, keep) for keep in (True, True, False)]
         self.assertEqual(counts, [1, 2, 1])
 
-    def test_output_of_an_earlier_run_is_dropped(self):
-        """A directory is used again; what it holds is taken for this run's."""
+    def test_output_of_an_earlier_run_is_overwritten(self):
+        """A directory is reused, and output of an earlier run is mistaken for new."""
         for _ in range(2):
             with processes.Processes(self.path) as running:
                 self.assertEqual(self.count_output(running, True), 1)
 
 
 class PortsTest(unittest.TestCase):
-    def test_no_connection_gets_the_port_of_a_process_that_is_down(self):
-        given = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range").read_text()
-        first, last = map(int, given.split())
+    def test_ports_are_outside_the_range_for_outgoing_connections(self):
+        port_range = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range").read_text()
+        first, last = map(int, port_range.split())
         ports = processes.find_ports(200)
         self.assertEqual(len(set(ports)), 200)
         self.assertFalse([port for port in ports if first <= port <= last])
