--- a/standins/log.py
+++ b/standins/log.py
@@ -238,7 +238,7 @@
             return append_time - now
 
 
-def answer_with(log):
+def build_handler(log):
     """Return the request handler of a log server."""
 
     def answer(environ):
@@ -300,7 +300,7 @@
         retain: Seconds for which records are retained; None for no limit.
     """
     log = Log(rate, retain)
-    return serving.build_server(address, answer_with(log), THREADS)
+    return serving.build_server(address, build_handler(log), THREADS)
 
 
 def main(arguments=None):
