--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,9 +1,9 @@
-"""Small fakes for measuring the decisions: clock, backend servers, clients.
+"""A discrete-event simulation of daemons, backend servers and clients.
 
-Everything runs on one paused clock that jumps from event to event, seeded, in
-one thread. The decision modules are the real ones, wired as a daemon wires
-them: levels at the entry, placement, gate, backend server, nested calls,
-answers that carry the load. The network is a fixed delay.
+The simulation is seeded and runs in one thread on a virtual clock. It uses the
+real decision modules and connects them as a daemon does: admission levels at the
+entry daemon, placement, gate, backend server, nested calls, and answers that
+carry the load. The network is modelled as a fixed delay.
 """
 
 import collections
@@ -15,15 +15,15 @@
 
 from whinwinch import gate, levels, messages, placement, retries
 
-NETWORK_SECONDS = 0.001
-# Retries that one root request may cause.
+NETWORK_DELAY_SECONDS = 0.001
+# Maximum retries per root request.
 RETRY_BUDGET = 3
 BASELINE_RETRIES = 3
-BASELINE_TIMEOUT = 1.0
+BASELINE_TIMEOUT_SECONDS = 1.0
 
 
 class Loop:
-    """A clock that jumps to the next event."""
+    """Event queue with a virtual clock that advances to the next event."""
 
     def __init__(self):
         self.now = 0.0
@@ -31,12 +31,12 @@
         self._order = itertools.count()
 
     def call_later(self, delay, function, *arguments):
-        """Run a function `delay` seconds from now."""
+        """Schedule a function to run after `delay` seconds."""
         event = (self.now + delay, next(self._order), function, arguments)
         heapq.heappush(self._events, event)
 
     def run_until(self, time):
-        """Run all events up to a time."""
+        """Run all events up to a time and set the clock to it."""
         while self._events and self._events[0][0] <= time:
             self.now, _, function, arguments = heapq.heappop(self._events)
             function(*arguments)
@@ -44,53 +44,53 @@
 
 
 class Fault(NamedTuple):
-    """How one endpoint differs from its peers.
+    """Faulty behaviour of one endpoint.
 
     Attributes:
-        slower: Factor on its service times.
-        until: Time in seconds up to which it is slower.
-        failing: Whether it answers an error at once.
-        lying: Factor by which it announces more slots than it has.
-        joins: Time in seconds at which the endpoint joins.
+        slowdown: Factor on its service times.
+        until: Time in seconds at which the slowdown ends.
+        failing: Whether it immediately answers each request with an error.
+        slot_factor: Ratio of the slots that it announces to those that it has.
+        join_time: Time in seconds at which the endpoint joins.
     """
 
-    slower: float = 1.0
+    slowdown: float = 1.0
     until: float = math.inf
     failing: bool = False
-    lying: float = 1.0
-    joins: float = 0.0
+    slot_factor: float = 1.0
+    join_time: float = 0.0
 
 
 class Service(NamedTuple):
-    """One service of the fake graph.
+    """Service of the simulated call graph.
 
     Attributes:
-        name: Its name.
-        work: Mean seconds of its own work on one request.
-        slots: Slots of each endpoint.
+        name: Name of the service.
+        work: Mean service time of one request in seconds, without nested calls.
+        slots: Number of slots of each endpoint.
         endpoints: Number of endpoints.
-        legs: Names of the services that it calls, all at once.
-        faults: Pairs of endpoint index and fault.
+        downstream: Names of the services that it calls concurrently per request.
+        faults: Pairs of an endpoint index and its fault.
     """
 
     name: str
     work: float = 0.005
     slots: int = 70
     endpoints: int = 4
-    legs: tuple[str, ...] = ()
+    downstream: tuple[str, ...] = ()
     faults: tuple[tuple[int, Fault], ...] = ()
 
 
 class Stream(NamedTuple):
-    """One stream of demand.
+    """Stream of similar requests.
 
     Attributes:
-        phases: Pairs of time in seconds and rate in requests a second from
-            that time on.
-        importance: Importance of its requests.
-        caller: Name of the caller.
-        path: Path asked for.
-        call: Call of the service.
+        phases: Pairs of a start time in seconds and the arrival rate in requests
+            per second from that time on.
+        importance: Importance of the requests.
+        caller: Name of the calling service.
+        path: Path of the requests.
+        call: Name of the call.
         work: Factor on the service times.
     """
 
@@ -103,38 +103,38 @@
 
 
 class Plan(NamedTuple):
-    """One scenario.
+    """Configuration of one simulated scenario.
 
     Attributes:
-        services: Services, the first is what callers ask for.
-        streams: Streams of demand.
-        seconds: Length of the demand.
+        services: Services; clients call the first one.
+        streams: Streams of requests from clients.
+        seconds: Duration of the demand.
         entries: Number of entry daemons.
-        patience: Seconds after which a client gives up on one attempt.
-        retries: Times that a client asks again.
-        pause: Mean seconds that a client waits before it asks again.
-        seed: Seed of all draws.
+        client_timeout: Timeout of one client attempt in seconds.
+        retries: Maximum number of retries by a client.
+        mean_backoff: Mean backoff of a client before a retry, in seconds.
+        seed: Seed of all random generators.
     """
 
     services: tuple[Service, ...]
     streams: tuple[Stream, ...]
     seconds: float
     entries: int = 4
-    patience: float = 2.0
+    client_timeout: float = 2.0
     retries: int = 3
-    pause: float = 0.1
+    mean_backoff: float = 0.1
     seed: int = 1
 
 
-class Wish(NamedTuple):
-    """What one client wanted and received.
+class ClientRequest(NamedTuple):
+    """Request of one client, over all its attempts. Times are in seconds.
 
     Attributes:
-        time: When it first asked.
-        stream: Index of its stream.
-        done: When it had its whole answer, infinite when never.
-        began: When the attempt that was answered began.
-        attempts: Attempts made.
+        time: Time of the first attempt.
+        stream: Index of the stream.
+        done: Time of the successful answer, infinite if there was none.
+        began: Start of the last attempt.
+        attempts: Number of attempts.
     """
 
     time: float
@@ -145,21 +145,21 @@
 
 
 class Ledger:
-    """Work done, by root request."""
+    """Record of the service time spent on each root request."""
 
     def __init__(self):
         self.work = collections.Counter()
         self.completed = set()
 
     def waste(self):
-        """Return the share of work done for requests that did not complete."""
+        """Return the share of service time spent on requests that did not complete."""
         total = sum(self.work.values())
         useful = sum(self.work[root] for root in self.completed)
         return 1.0 - useful / total if total else 0.0
 
 
 class Backend:
-    """A fake backend server: slots, a queue inside, service times."""
+    """Simulated backend server with slots and an unbounded queue."""
 
     def __init__(self, loop, service, fault, rng, ledger):
         self.loop = loop
@@ -171,14 +171,14 @@
         self._queue = collections.deque()
 
     def submit(self, request, factor, nested, done):
-        """Work on a request.
+        """Queue a request and process it once a slot is free.
 
         Args:
             request: The request.
             factor: Factor on its service time.
-            nested: Function that makes the nested calls, given a function that
-                takes whether they all succeeded.
-            done: Function that takes the HTTP status.
+            nested: Function that makes the nested calls; its argument is a function
+                to call with whether all of them succeeded.
+            done: Function to call with the HTTP status.
         """
         self._queue.append((request, factor, nested, done))
         self._start()
@@ -194,8 +194,8 @@
             self.loop.call_later(seconds, self._worked, job, seconds)
 
     def _draw(self, factor):
-        slower = self.fault.slower if self.loop.now < self.fault.until else 1.0
-        mean = self.service.work * factor * slower
+        slowdown = self.fault.slowdown if self.loop.now < self.fault.until else 1.0
+        mean = self.service.work * factor * slowdown
         return self._rng.gammavariate(4.0, mean / 4.0)
 
     def _worked(self, job, seconds):
@@ -210,7 +210,7 @@
 
 
 class Caller:
-    """The side of a daemon that calls: levels, placement, retries."""
+    """Outbound side of a daemon: admission levels, placement, retries."""
 
     def __init__(self, mesh, name, zone):
         self.mesh = mesh
@@ -220,11 +220,11 @@
         self._random = random.Random(f"back-off {name}").random
 
     def call(self, request, factor, holder, reply, tries=0, tried=frozenset()):
-        """Try endpoints until an answer stands; `reply` takes it."""
+        """Make attempts until one has a final answer, and pass it to `reply`."""
         now = self.mesh.loop.now
         refused = self.levels.refuse(request, now)
         if refused is not None:
-            # The caller is told what its daemon knows, without a hop.
+            # The answer comes from the local daemon, so there is no network delay.
             load = messages.Load(
                 below=self.levels.level(request.service, request.call, now, request)
             )
@@ -241,7 +241,7 @@
         sent = request._replace(attempt=attempt, budget=granted)
         self.placement.start(daemon, now, sent)
 
-        def take(answer):
+        def handle_answer(answer):
             self._observe(daemon, sent, answer, now)
             delay = self._decide_retry(sent, answer, holder, tries)
             if delay is None:
@@ -251,7 +251,9 @@
             self.mesh.loop.call_later(delay, self.call, *again)
 
         guard = self.mesh.gates[daemon]
-        self.mesh.loop.call_later(NETWORK_SECONDS, guard.handle, sent, factor, take)
+        self.mesh.loop.call_later(
+            NETWORK_DELAY_SECONDS, guard.handle, sent, factor, handle_answer
+        )
 
     def _observe(self, daemon, sent, answer, began):
         now = self.mesh.loop.now
@@ -259,7 +261,10 @@
         self.levels.learn(sent.service, sent.call, answer.load, now, sent)
 
     def _decide_retry(self, sent, answer, holder, tries):
-        """Settle the budget; return the delay before a retry, or None."""
+        """Return the delay before a retry, or None for no retry.
+
+        Returns the unused retry budget of the attempt and spends one unit for a retry.
+        """
         self.ledger.return_unused(sent.attempt, answer.unused_retries)
         remaining = self.ledger.get_remaining(holder)
         now = self.mesh.loop.now
@@ -272,7 +277,7 @@
 
 
 class Guard:
-    """The side of a daemon that guards its backend server."""
+    """Inbound side of a daemon: admission to its backend server."""
 
     def __init__(self, mesh, daemon, service, backend, announced, zone):
         self.mesh = mesh
@@ -284,7 +289,7 @@
         self._timer = math.inf
 
     def handle(self, request, factor, reply):
-        """Take an attempt that another daemon sent."""
+        """Admit, queue or refuse an attempt from another daemon."""
         now = self.mesh.loop.now
         refused = self.caller.levels.refuse_below(request, now)
         if refused is not None:
@@ -325,30 +330,30 @@
         self.caller.ledger.open(request.attempt, request.budget, request.deadline)
 
         def nested(done):
-            self._call_legs(request, factor, loads, done)
+            self._call_downstream(request, factor, loads, done)
 
         def done(status):
             self._finish(request, began, status, loads, reply)
 
         self.backend.submit(request, factor, nested, done)
 
-    def _call_legs(self, request, factor, loads, done):
-        legs = self.service.legs
-        if not legs:
+    def _call_downstream(self, request, factor, loads, done):
+        downstream = self.service.downstream
+        if not downstream:
             done(True)
             return
         answers = []
 
-        def take(answer):
+        def handle_answer(answer):
             answers.append(answer)
             loads.append(answer.load)
-            if len(answers) == len(legs):
-                done(all(is_whole(each) for each in answers))
+            if len(answers) == len(downstream):
+                done(all(is_success(each) for each in answers))
 
-        for leg in legs:
+        for callee in downstream:
             via = request.via + (request.service,)
-            call = request._replace(service=leg, via=via)
-            self.caller.call(call, factor, request.attempt, take)
+            call = request._replace(service=callee, via=via)
+            self.caller.call(call, factor, request.attempt, handle_answer)
 
     def _finish(self, request, began, status, loads, reply):
         now = self.mesh.loop.now
@@ -367,17 +372,19 @@
             from_downstream=status == 503,
             load=self.gate.load(now, request)._replace(below=below),
         )
-        self.mesh.loop.call_later(NETWORK_SECONDS, reply, answer)
+        self.mesh.loop.call_later(NETWORK_DELAY_SECONDS, reply, answer)
 
     def _refuse(self, answer, request, reply):
         now = self.mesh.loop.now
         below = self.caller.levels.below(request, now)
         load = self.gate.load(now, request)._replace(below=below)
-        self.mesh.loop.call_later(NETWORK_SECONDS, reply, answer._replace(load=load))
+        self.mesh.loop.call_later(
+            NETWORK_DELAY_SECONDS, reply, answer._replace(load=load)
+        )
 
 
 class Mesh:
-    """Daemons and backend servers under control."""
+    """Backend servers with a daemon beside each of them."""
 
     def __init__(self, plan):
         self.loop = Loop()
@@ -402,9 +409,9 @@
             zone = f"z{index % 4}"
             rng = random.Random(f"{seed} {daemon}")
             backend = Backend(self.loop, service, fault, rng, self.ledger)
-            announced = max(1, round(service.slots * fault.lying))
+            announced = max(1, round(service.slots * fault.slot_factor))
             member = messages.Endpoint(daemon, "", service.name, zone, "r", announced)
-            members.append((fault.joins, member))
+            members.append((fault.join_time, member))
             self.gates[daemon] = Guard(
                 self, f"{daemon}-{seed}", service, backend, announced, zone
             )
@@ -414,29 +421,32 @@
         """Return the endpoints of a service that have joined."""
         now = self.loop.now
         return tuple(
-            member for joins, member in self.endpoints[service] if joins <= now
+            member for join_time, member in self.endpoints[service] if join_time <= now
         )
 
     def next_attempt(self):
-        """Return a new identifier of an attempt."""
+        """Return a new attempt identifier."""
         return str(next(self._attempts))
 
-    def ask(self, request, factor, entry, reply):
-        """Take a request of an outside caller at one entry."""
+    def submit(self, request, factor, entry, reply):
+        """Handle a root request at one entry daemon."""
         caller = self.entries[entry % len(self.entries)]
         holder = request.attempt
         caller.ledger.open(holder, RETRY_BUDGET, request.deadline)
 
-        def take(answer):
+        def handle_answer(answer):
             caller.ledger.close(holder)
             caller.ledger.expire(self.loop.now)
             reply(answer)
 
-        caller.call(request, factor, holder, take)
+        caller.call(request, factor, holder, handle_answer)
 
 
 class Baseline:
-    """The same graph without control: unbounded queues, 3 retries a hop."""
+    """The same call graph without overload control.
+
+    Queues are unbounded, and each caller makes up to `BASELINE_RETRIES` retries.
+    """
 
     def __init__(self, plan):
         self.loop = Loop()
@@ -457,19 +467,19 @@
                 for index in range(service.endpoints)
             ]
 
-    def ask(self, request, factor, entry, reply):
-        """Take a request of an outside caller."""
+    def submit(self, request, factor, entry, reply):
+        """Handle a root request."""
         self._call(
             request,
             factor,
-            lambda ok: reply(make_answer(request, ok)),
+            lambda ok: reply(build_baseline_answer(request, ok)),
             BASELINE_RETRIES,
         )
 
     def _choose(self, service):
         now = self.loop.now
         backends = self._backends[service]
-        return self._rng.choice([b for b in backends if b.fault.joins <= now])
+        return self._rng.choice([b for b in backends if b.fault.join_time <= now])
 
     def _call(self, request, factor, reply, retries):
         settled = []
@@ -486,39 +496,46 @@
         backend = self._choose(request.service)
 
         def nested(done):
-            self._call_legs(request, factor, done)
+            self._call_downstream(request, factor, done)
 
         self.loop.call_later(
-            NETWORK_SECONDS,
+            NETWORK_DELAY_SECONDS,
             backend.submit,
             request,
             factor,
             nested,
-            lambda status: self.loop.call_later(NETWORK_SECONDS, settle, status == 200),
+            lambda status: self.loop.call_later(
+                NETWORK_DELAY_SECONDS, settle, status == 200
+            ),
         )
-        self.loop.call_later(BASELINE_TIMEOUT * max(1.0, factor), settle, False)
+        self.loop.call_later(BASELINE_TIMEOUT_SECONDS * max(1.0, factor), settle, False)
 
-    def _call_legs(self, request, factor, done):
-        legs = self._services[request.service].legs
-        if not legs:
+    def _call_downstream(self, request, factor, done):
+        downstream = self._services[request.service].downstream
+        if not downstream:
             done(True)
             return
         results = []
 
-        def take(ok):
+        def handle_answer(ok):
             results.append(ok)
-            if len(results) == len(legs):
+            if len(results) == len(downstream):
                 done(all(results))
 
-        for leg in legs:
-            self._call(request._replace(service=leg), factor, take, BASELINE_RETRIES)
+        for callee in downstream:
+            self._call(
+                request._replace(service=callee),
+                factor,
+                handle_answer,
+                BASELINE_RETRIES,
+            )
 
 
 class Clients:
-    """Clients that ask by chance at a given rate, and retry hard."""
+    """Clients with Poisson arrivals that retry every failed request."""
 
     def __init__(self, plan, system):
-        self.wishes = []
+        self.client_requests = []
         self._plan = plan
         self._system = system
         self._loop = system.loop
@@ -533,7 +550,7 @@
         rate, ends = find_rate(stream.phases, now)
         pause = self._rng.expovariate(rate) if rate > 0.0 else math.inf
         if now + pause > ends:
-            # A new phase begins before the next arrival: draw again from there.
+            # The rate changes before the next arrival: draw again when it does.
             if ends < self._plan.seconds:
                 self._loop.call_later(ends - now, self._schedule, index)
             return
@@ -542,12 +559,12 @@
 
     def _arrive(self, index):
         self._schedule(index)
-        self._ask(index, self._loop.now, 1)
+        self._attempt(index, self._loop.now, 1)
 
-    def _ask(self, index, first, attempt):
+    def _attempt(self, index, first, attempt):
         stream = self._plan.streams[index]
         now = self._loop.now
-        patience = self._plan.patience * max(1.0, stream.work / 10.0)
+        client_timeout = self._plan.client_timeout * max(1.0, stream.work / 10.0)
         root = f"{self._plan.seed}-{next(self._roots)}"
         request = messages.Request(
             attempt=root,
@@ -557,7 +574,7 @@
             method="GET",
             path=stream.path,
             importance=stream.importance,
-            deadline=now + patience,
+            deadline=now + client_timeout,
             caller=stream.caller,
         )
         settled = []
@@ -568,49 +585,53 @@
             settled.append(ok)
             self._settle(index, first, now, attempt, root, ok)
 
-        self._loop.call_later(patience, settle, False)
+        self._loop.call_later(client_timeout, settle, False)
         entry = self._rng.randrange(1 << 20)
-        self._system.ask(
-            request, stream.work, entry, lambda answer: settle(is_whole(answer))
+        self._system.submit(
+            request, stream.work, entry, lambda answer: settle(is_success(answer))
         )
 
     def _settle(self, index, first, began, attempt, root, ok):
         now = self._loop.now
         if ok:
             self._system.ledger.completed.add(root)
-            self.wishes.append(Wish(first, index, now, began, attempt))
+            self.client_requests.append(
+                ClientRequest(first, index, now, began, attempt)
+            )
         elif attempt <= self._plan.retries:
-            pause = self._plan.pause * self._rng.uniform(0.5, 1.5)
-            self._loop.call_later(pause, self._ask, index, first, attempt + 1)
+            pause = self._plan.mean_backoff * self._rng.uniform(0.5, 1.5)
+            self._loop.call_later(pause, self._attempt, index, first, attempt + 1)
         else:
-            self.wishes.append(Wish(first, index, math.inf, began, attempt))
+            self.client_requests.append(
+                ClientRequest(first, index, math.inf, began, attempt)
+            )
 
 
 class Run(NamedTuple):
-    """What one run gave.
+    """Result of one run.
 
     Attributes:
         plan: The scenario.
-        wishes: What each client received.
-        waste: Share of the work done for requests that did not complete.
+        client_requests: Outcome of each client request.
+        waste: Share of service time spent on requests that did not complete.
     """
 
     plan: Plan
-    wishes: tuple[Wish, ...]
+    client_requests: tuple[ClientRequest, ...]
     waste: float
 
 
 def run_plan(plan, controlled):
-    """Run a scenario, with control or as the baseline."""
+    """Simulate a scenario with overload control or, if not, as the baseline."""
     system = Mesh(plan) if controlled else Baseline(plan)
     clients = Clients(plan, system)
-    tail = plan.patience * (plan.retries + 1) + 1.0
+    tail = plan.client_timeout * (plan.retries + 1) + 1.0
     system.loop.run_until(plan.seconds + tail)
-    return Run(plan, tuple(clients.wishes), system.ledger.waste())
+    return Run(plan, tuple(clients.client_requests), system.ledger.waste())
 
 
 def find_rate(phases, now):
-    """Return the rate of a stream at a time and when it ends."""
+    """Return the arrival rate at a time and the time at which it next changes."""
     rate, ends = 0.0, math.inf
     for start, value in phases:
         if start <= now + 1e-12:
@@ -621,27 +642,27 @@
     return rate, ends
 
 
-def is_whole(answer):
-    """Return whether an answer is what the caller asked for."""
+def is_success(answer):
+    """Return whether a request completed with HTTP status 200."""
     return answer.outcome is messages.Outcome.COMPLETED and answer.status == 200
 
 
-def make_answer(request, ok):
-    """Return an answer of the baseline."""
+def build_baseline_answer(request, ok):
+    """Return the answer of a baseline backend server."""
     return messages.Answer(
         request.attempt, messages.Outcome.COMPLETED, status=200 if ok else 503
     )
 
 
 def refuse(request, reason):
-    """Return the answer to a request that no endpoint could take."""
+    """Return a refusal for a request that was not sent to an endpoint."""
     return messages.Answer(
         request.attempt, messages.Outcome.NOT_RUN, reason, status=503
     )
 
 
 def refuse_decided(request, decision, deeper):
-    """Return the answer that tells a decision to refuse."""
+    """Return the answer that reports a decision to refuse."""
     return messages.Answer(
         request.attempt,
         messages.Outcome.NOT_RUN,
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,9 +1,9 @@
-"""Measures the decisions under load (``make measure``).
+"""Simulates overload scenarios and compares them with targets (``make measure``).
 
-Every scenario runs on the baseline (no control: unbounded queues, three retries
-a hop) and on the present version, and is judged by what callers receive. The
-table states each target and whether it is met. The exit status tells errors
-only, not misses.
+Every scenario runs on the baseline (unbounded queues and three retries per hop,
+without overload control) and on the present version. The figures are computed
+from what callers receive. The table shows each target and whether it is met. A
+missed target doesn't change the exit status.
 """
 
 import argparse
@@ -15,21 +15,21 @@
 
 from . import fakes, scenarios
 
-SETTLED_SECONDS = 1.0
+WARM_UP_SECONDS = 1.0
 RECOVERY_SHARE = 0.99
-RECOVERY_STEP = 0.1
-RECOVERY_WINDOW = 1.0
+RECOVERY_STEP_SECONDS = 0.1
+RECOVERY_WINDOW_SECONDS = 1.0
 
 
 class Figure(NamedTuple):
-    """One figure of one scenario.
+    """Measured value of one scenario.
 
     Attributes:
-        name: What was measured.
-        target: The target as text.
-        value: What came out.
-        met: Whether that meets the target.
-        unit: How the value is written: "share" or "seconds" or "ratio".
+        name: Name of the measured quantity.
+        target: Target as text.
+        value: Measured value.
+        met: Whether the value meets the target.
+        unit: Unit of the value: "share", "seconds" or "ratio".
     """
 
     name: str
@@ -40,14 +40,14 @@
 
 
 class Scenario(NamedTuple):
-    """One scenario: a name and a function from a way to run to its figures."""
+    """Scenario: its name, and a function that maps a runner of plans to figures."""
 
     name: str
-    judge: object
+    evaluate: object
 
 
 class Row(NamedTuple):
-    """One line of the table."""
+    """Row of the table: one figure on the baseline and the present version."""
 
     scenario: str
     baseline: Figure
@@ -55,46 +55,61 @@
 
 
 def find_goodput(run, since, until):
-    """Return whole requests completed per second between two times."""
-    done = sum(since <= wish.done < until for wish in run.wishes)
+    """Return the client requests completed per second between two times."""
+    done = sum(since <= request.done < until for request in run.client_requests)
     return done / (until - since)
 
 
 def find_completed(run, streams):
-    """Return the share of wishes of some streams that completed."""
-    wishes = [wish for wish in run.wishes if wish.stream in streams]
-    return sum(wish.done < math.inf for wish in wishes) / max(1, len(wishes))
+    """Return the share of client requests of some streams that completed."""
+    client_requests = [
+        request for request in run.client_requests if request.stream in streams
+    ]
+    return sum(request.done < math.inf for request in client_requests) / max(
+        1, len(client_requests)
+    )
 
 
 def find_percentile(run, share, streams):
-    """Return a percentile of the time from first asking to the whole answer."""
+    """Return a percentile of the seconds from first attempt to successful answer."""
     times = sorted(
-        wish.done - wish.time for wish in run.wishes if wish.stream in streams
+        request.done - request.time
+        for request in run.client_requests
+        if request.stream in streams
     )
     return times[min(len(times) - 1, int(share * len(times)))]
 
 
 def find_recovery(run, since):
-    """Return seconds from the end of a trigger until goodput is back for good.
+    """Return the seconds from the end of an overload to lasting recovery.
 
-    Goodput of a window is the share of the wishes that arrive in it which
-    complete. Infinite when it never comes back.
+    Goodput has recovered when, in this and all later windows, at least
+    `RECOVERY_SHARE` of the requests that arrive in the window complete. The result
+    is infinite if goodput never recovers.
     """
-    wishes = [wish for wish in run.wishes if wish.time >= since]
+    client_requests = [
+        request for request in run.client_requests if request.time >= since
+    ]
     recovered = math.inf
-    windows = int((run.plan.seconds - since - RECOVERY_WINDOW) / RECOVERY_STEP)
+    windows = int(
+        (run.plan.seconds - since - RECOVERY_WINDOW_SECONDS) / RECOVERY_STEP_SECONDS
+    )
     for step in reversed(range(windows + 1)):
-        start = since + step * RECOVERY_STEP
-        inside = [w for w in wishes if start <= w.time < start + RECOVERY_WINDOW]
-        whole = sum(wish.done < math.inf for wish in inside)
+        start = since + step * RECOVERY_STEP_SECONDS
+        inside = [
+            w
+            for w in client_requests
+            if start <= w.time < start + RECOVERY_WINDOW_SECONDS
+        ]
+        whole = sum(request.done < math.inf for request in inside)
         if whole < RECOVERY_SHARE * len(inside):
             break
         recovered = start - since
     return recovered
 
 
-def find_swing(run, since, until):
-    """Return the largest deviation of 1 s goodput from its mean, as a share."""
+def find_max_deviation(run, since, until):
+    """Return the maximum deviation of 1 s goodput from its mean, as a share."""
     counts = [
         find_goodput(run, since + step, since + step + 1.0)
         for step in range(int(until - since))
@@ -103,35 +118,39 @@
     return max(abs(count - mean) for count in counts) / mean if mean else math.inf
 
 
-def at_least(name, value, least):
-    """Return a figure that must reach a share."""
-    return Figure(name, f">= {least:.1%}", value, value >= least)
+def at_least(name, value, minimum):
+    """Return a figure whose target is a minimum share."""
+    return Figure(name, f">= {minimum:.1%}", value, value >= minimum)
 
 
-def at_most(name, value, most, unit="share"):
-    """Return a figure that must not exceed a bound."""
-    return Figure(name, f"<= {format_value(most, unit)}", value, value <= most, unit)
+def at_most(name, value, maximum, unit="share"):
+    """Return a figure whose target is a maximum."""
+    return Figure(
+        name, f"<= {format_value(maximum, unit)}", value, value <= maximum, unit
+    )
 
 
-def judge_overload(plan, run):
-    """Return goodput, waste and oscillation of a steady overload."""
+def evaluate_overload(plan, run):
+    """Return goodput, wasted work and oscillation under a constant overload."""
     result = run(plan)
     capacity = scenarios.find_capacity(plan.services)
     until = plan.seconds
-    goodput = find_goodput(result, SETTLED_SECONDS, until) / capacity
+    goodput = find_goodput(result, WARM_UP_SECONDS, until) / capacity
     return (
         at_least("goodput of capacity", goodput, 0.95),
         at_most("wasted work", result.waste, 0.03),
         at_most(
-            "1 s goodput off its mean", find_swing(result, SETTLED_SECONDS, until), 0.15
+            "1 s goodput off its mean",
+            find_max_deviation(result, WARM_UP_SECONDS, until),
+            0.15,
         ),
     )
 
 
-def judge_importance(plan, run):
-    """Return how many important requests completed, and how many at once."""
+def evaluate_importance(plan, run):
+    """Return the shares of important requests completed, in all and without retry."""
     result = run(plan)
-    important = [wish for wish in result.wishes if wish.stream == 0]
+    important = [request for request in result.client_requests if request.stream == 0]
     at_once = sum(w.done < math.inf and w.attempts == 1 for w in important)
     return (
         at_least("important completed", find_completed(result, {0}), 0.999),
@@ -139,26 +158,26 @@
     )
 
 
-def judge_recovery(plan, service_time, run):
-    """Return the time to recovery."""
+def evaluate_recovery(plan, service_time, run):
+    """Return the time until goodput recovers after an overload."""
     result = run(plan)
     seconds = find_recovery(result, plan.seconds / 2.0)
     return (at_most("recovery", seconds, 1.0 + service_time, "seconds"),)
 
 
-def judge_hot(plan, run):
-    """Return how many requests of the other callers completed."""
+def evaluate_hot(plan, run):
+    """Return the completion rate of the other callers, and the goodput."""
     result = run(plan)
     others = set(range(1, len(plan.streams)))
-    goodput = find_goodput(result, SETTLED_SECONDS, plan.seconds)
+    goodput = find_goodput(result, WARM_UP_SECONDS, plan.seconds)
     return (
         at_least("others completed", find_completed(result, others), 0.98),
         at_least("goodput of capacity", goodput / scenarios.CAPACITY, 0.95),
     )
 
 
-def judge_endpoint(plan, usual, run):
-    """Return the 99th percentile against that without the fault."""
+def evaluate_endpoint(plan, usual, run):
+    """Return the p99 latency relative to a run without the fault."""
     result = run(plan)
     without = find_percentile(run(usual), 0.99, {0})
     ratio = find_percentile(result, 0.99, {0}) / without
@@ -168,20 +187,23 @@
     )
 
 
-def judge_all_bad(plan, run):
-    """Return how many completed though every endpoint looks bad."""
+def evaluate_all_bad(plan, run):
+    """Return the completion rate when all endpoints are slow."""
     return (at_least("completed", find_completed(run(plan), {0}), 0.99),)
 
 
-def judge_long(plan, usual, run):
-    """Return the short jobs' 99th percentile, and the long ones' throughput."""
+def evaluate_long(plan, usual, run):
+    """Return the p99 latency of short jobs and the throughput of long jobs."""
     result = run(plan)
     short = find_percentile(result, 0.99, {0})
     without = find_percentile(run(usual), 0.99, {0})
-    # What the slots leave to long jobs when the short ones are served.
-    left = 4 * 5 - 380.0 * 0.01
-    long_rate = sum(w.stream == 1 and w.done < plan.seconds for w in result.wishes)
-    served = long_rate / plan.seconds / (left / 1.0)
+    # Slots that remain for long jobs: 20 slots minus those that 380 short
+    # requests/s of 0.01 s occupy.
+    slots_for_long = 4 * 5 - 380.0 * 0.01
+    long_rate = sum(
+        w.stream == 1 and w.done < plan.seconds for w in result.client_requests
+    )
+    served = long_rate / plan.seconds / (slots_for_long / 1.0)
     return (
         at_most("short p99 to that without", short / without, 2.0, "ratio"),
         at_least("short completed", find_completed(result, {0}), 0.99),
@@ -189,10 +211,10 @@
     )
 
 
-def judge_entries(plans, run):
-    """Return the spread of goodput over numbers of entry daemons."""
+def evaluate_entries(plans, run):
+    """Return how much goodput varies with the number of entry daemons."""
     goodputs = [
-        find_goodput(run(plan), SETTLED_SECONDS, plan.seconds) / scenarios.CAPACITY
+        find_goodput(run(plan), WARM_UP_SECONDS, plan.seconds) / scenarios.CAPACITY
         for plan in plans
     ]
     return (
@@ -201,12 +223,12 @@
     )
 
 
-def judge_mesh(plan, work, run):
-    """Return goodput and recovery for the sizes of one user."""
+def evaluate_mesh(plan, work, run):
+    """Return goodput, recovery and wasted work for a deployment."""
     result = run(plan)
     capacity = scenarios.find_capacity(plan.services)
     half = plan.seconds / 2.0
-    goodput = find_goodput(result, SETTLED_SECONDS, half) / capacity
+    goodput = find_goodput(result, WARM_UP_SECONDS, half) / capacity
     return (
         at_least("goodput of capacity", goodput, 0.95),
         at_most("recovery", find_recovery(result, half), 1.0 + work, "seconds"),
@@ -215,7 +237,7 @@
 
 
 def list_scenarios(seconds, seed):
-    """Return all scenarios at a length in seconds and a seed."""
+    """Return all scenarios for a duration in seconds and a seed."""
     more = {"seed": seed}
     return (
         *_list_overloads(seconds, more),
@@ -243,7 +265,7 @@
 
 
 def _bind_overload(plan):
-    return lambda run: judge_overload(plan, run)
+    return lambda run: evaluate_overload(plan, run)
 
 
 def _list_others(seconds, more):
@@ -258,13 +280,13 @@
     ]
     return (
         Scenario(
-            "important 0.5x among 5x", lambda run: judge_importance(important, run)
+            "important 0.5x among 5x", lambda run: evaluate_importance(important, run)
         ),
         *(_list_recovery(depth, seconds, more) for depth in (3, 6)),
-        Scenario("hot caller, 20 shares", lambda run: judge_hot(caller, run)),
-        Scenario("hot key, 20 shares", lambda run: judge_hot(key, run)),
-        Scenario("5 % long jobs", lambda run: judge_long(long, short, run)),
-        Scenario("5x, 1, 16, 200 entries", lambda run: judge_entries(entries, run)),
+        Scenario("hot caller, 20 shares", lambda run: evaluate_hot(caller, run)),
+        Scenario("hot key, 20 shares", lambda run: evaluate_hot(key, run)),
+        Scenario("5 % long jobs", lambda run: evaluate_long(long, short, run)),
+        Scenario("5x, 1, 16, 200 entries", lambda run: evaluate_entries(entries, run)),
     )
 
 
@@ -273,18 +295,19 @@
     service_time = scenarios.WORK + 0.005 * (depth - 1)
     return Scenario(
         f"5x ends, {depth} deep",
-        lambda run: judge_recovery(plan, service_time, run),
+        lambda run: evaluate_recovery(plan, service_time, run),
     )
 
 
 def _list_endpoints(seconds, more):
-    # Three endpoints can carry 0.55 of four; one that lies still does its part.
+    # The three healthy endpoints can carry 0.55 of the capacity of four. An
+    # endpoint that announces too many slots still adds its real capacity.
     faults = {
-        "one endpoint 10x slower": (fakes.Fault(slower=10.0), 0.55),
+        "one endpoint 10x slower": (fakes.Fault(slowdown=10.0), 0.55),
         "one endpoint fails at once": (fakes.Fault(failing=True), 0.55),
-        "one endpoint claims 5x slots": (fakes.Fault(lying=5.0), 0.75),
+        "one endpoint claims 5x slots": (fakes.Fault(slot_factor=5.0), 0.75),
         "one endpoint joins cold": (
-            fakes.Fault(slower=10.0, joins=seconds / 4.0, until=seconds / 2.0),
+            fakes.Fault(slowdown=10.0, join_time=seconds / 4.0, until=seconds / 2.0),
             0.55,
         ),
     }
@@ -294,12 +317,12 @@
         plan = scenarios.plan_endpoint(fault, load, seconds, **more)
         found.append(Scenario(name, _bind_endpoint(plan, usual)))
     bad = scenarios.plan_all_bad(seconds, **more)
-    found.append(Scenario("all endpoints slow", lambda run: judge_all_bad(bad, run)))
+    found.append(Scenario("all endpoints slow", lambda run: evaluate_all_bad(bad, run)))
     return found
 
 
 def _bind_endpoint(plan, usual):
-    return lambda run: judge_endpoint(plan, usual, run)
+    return lambda run: evaluate_endpoint(plan, usual, run)
 
 
 def _list_meshes(seconds, more):
@@ -311,20 +334,21 @@
 
 
 def _bind_mesh(plan, mesh):
-    return lambda run: judge_mesh(plan, mesh.work, run)
+    return lambda run: evaluate_mesh(plan, mesh.work, run)
 
 
 def measure(index, seconds, seed, controlled):
-    """Return the figures of one scenario, run in one way.
+    """Return the figures of one scenario on the baseline or the present version.
 
-    Scenarios are named by index, as functions don't travel to other processes.
+    Scenarios are passed by index, as their functions can't be pickled for other
+    processes.
     """
     scenario = list_scenarios(seconds, seed)[index]
-    return scenario.judge(lambda plan: fakes.run_plan(plan, controlled))
+    return scenario.evaluate(lambda plan: fakes.run_plan(plan, controlled))
 
 
 def measure_all(seconds, seed, processes, names=""):
-    """Measure all scenarios whose name holds `names`; return the rows."""
+    """Measure all scenarios whose name contains `names`; return the rows."""
     listed = list_scenarios(seconds, seed)
     chosen = [i for i, scenario in enumerate(listed) if names in scenario.name]
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
@@ -344,7 +368,7 @@
 
 
 def format_value(value, unit):
-    """Write a value in its unit."""
+    """Format a value with its unit."""
     if value == math.inf:
         return "never"
     if unit == "seconds":
@@ -355,7 +379,7 @@
 
 
 def format_rows(rows):
-    """Return the table as lines of Markdown."""
+    """Return the lines of a Markdown table."""
     lines = [
         "| scenario | figure | target | baseline | present | met |",
         "|---|---|---|---|---|---|",
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,17 +1,16 @@
-"""The scenarios under which the decisions are measured.
+"""Plans of the simulated overload scenarios.
 
-Each is a plan for the fakes and a target on what callers receive. The capacity
-that a scenario is sized by is that of its narrowest service; the decision
-modules aren't told it.
+The load of a scenario is relative to the capacity of its bottleneck service.
+The decision modules don't receive this capacity.
 """
 
 from typing import NamedTuple
 
 from whinwinch.messages import Importance
 
-from .fakes import NETWORK_SECONDS, Fault, Plan, Service, Stream
+from .fakes import NETWORK_DELAY_SECONDS, Fault, Plan, Service, Stream
 
-# The narrowest service: 4 endpoints, 8 slots, 0.2 s of work each.
+# Bottleneck service: 4 endpoints with 8 slots each, 0.2 s per request.
 SLOTS = 8
 WORK = 0.2
 ENDPOINTS = 4
@@ -19,12 +18,12 @@
 
 
 def make_chain(depth, narrow=None):
-    """Return a chain of services of which one is narrow, the last by default."""
+    """Return a chain of services with one bottleneck, the last service by default."""
     narrow = depth - 1 if narrow is None else narrow
     services = []
     for index in range(depth):
-        legs = (f"s{index + 1}",) if index + 1 < depth else ()
-        service = Service(f"s{index}", legs=legs)
+        downstream = (f"s{index + 1}",) if index + 1 < depth else ()
+        service = Service(f"s{index}", downstream=downstream)
         if index == narrow:
             service = service._replace(work=WORK, slots=SLOTS, endpoints=ENDPOINTS)
         services.append(service)
@@ -32,33 +31,36 @@
 
 
 def find_capacity(services):
-    """Return the whole requests a second that the narrowest service carries.
+    """Return the capacity of the bottleneck service in requests per second.
 
-    A slot is held for the service's own work and for its nested calls.
+    A request occupies a slot during its service time and its nested calls.
     """
     by_name = {service.name: service for service in services}
 
     def hold(service):
-        below = [hold(by_name[leg]) + 2.0 * NETWORK_SECONDS for leg in service.legs]
+        below = [
+            hold(by_name[callee]) + 2.0 * NETWORK_DELAY_SECONDS
+            for callee in service.downstream
+        ]
         return service.work + max(below, default=0.0)
 
     return min(each.slots * each.endpoints / hold(each) for each in services)
 
 
 def make_steady(rate, **more):
-    """Return a stream of one rate."""
+    """Return a stream with a constant rate in requests per second."""
     return Stream(phases=((0.0, rate),), **more)
 
 
 def plan_overload(depth, factor, seconds, narrow=None, **more):
-    """Demand above capacity, clients that retry hard."""
+    """Return a plan of demand above capacity from clients that retry."""
     services = make_chain(depth, narrow)
     streams = (make_steady(find_capacity(services) * factor),)
     return Plan(services, streams, seconds, **more)
 
 
 def plan_importance(factor, seconds, **more):
-    """Important requests at half the capacity among many that are not."""
+    """Return a plan of critical requests at half the capacity in an overload."""
     streams = (
         make_steady(CAPACITY * 0.5, importance=Importance.CRITICAL),
         make_steady(CAPACITY * factor),
@@ -67,13 +69,16 @@
 
 
 def plan_recovery(depth, seconds, **more):
-    """An overload of 5 times the capacity that falls back to 0.7 of it."""
+    """Return a plan of demand that falls from 5 to 0.7 times the capacity."""
     phases = ((0.0, CAPACITY * 5.0), (seconds / 2.0, CAPACITY * 0.7))
     return Plan(make_chain(depth), (Stream(phases),), seconds, **more)
 
 
 def plan_hot(dimension, seconds, **more):
-    """One caller or key of ten asks 20 times its share, the others half."""
+    """Return a plan in which one caller or path of ten sends 20 times its share.
+
+    The nine others send half their share.
+    """
     share = CAPACITY / 10.0
     streams = [make_steady(20.0 * share, **{dimension: "/hot"})]
     streams += [make_steady(0.5 * share, **{dimension: f"/{i}"}) for i in range(9)]
@@ -81,14 +86,14 @@
 
 
 def plan_endpoint(fault, load, seconds, **more):
-    """One of four endpoints in the middle of a chain differs from its peers.
+    """Return a plan with a faulty endpoint among four in the middle of a chain.
 
-    `load` is the demand as a share of what the four carry.
+    `load` is the demand as a share of the capacity of all four.
     """
     faults = ((1, fault),) if fault else ()
     services = (
-        Service("s0", legs=("s1",)),
-        Service("s1", work=0.02, slots=8, legs=("s2",), faults=faults),
+        Service("s0", downstream=("s1",)),
+        Service("s1", work=0.02, slots=8, downstream=("s2",), faults=faults),
         Service("s2"),
     )
     streams = (make_steady(load * find_capacity(services)),)
@@ -96,20 +101,23 @@
 
 
 def plan_all_bad(seconds, **more):
-    """All endpoints of a service turn ten times slower, within their capacity."""
-    fault = Fault(slower=10.0)
+    """Return a plan in which all endpoints are ten times slower.
+
+    The demand remains within their reduced capacity.
+    """
+    fault = Fault(slowdown=10.0)
     faults = tuple((index, fault) for index in range(ENDPOINTS))
     services = (
-        Service("s0", legs=("s1",)),
+        Service("s0", downstream=("s1",)),
         Service("s1", work=0.02, slots=8, faults=faults),
     )
     return Plan(services, (make_steady(0.7 * CAPACITY),), seconds, **more)
 
 
 def plan_long(share, seconds, **more):
-    """Short jobs, and a share of jobs that take 100 times as long.
+    """Return a plan with short jobs and a share of jobs 100 times as long.
 
-    The long ones alone are more than the slots carry.
+    The long jobs alone exceed the capacity of the slots.
     """
     rate = 400.0
     streams = [make_steady(rate * (1.0 - share), call="short")]
@@ -120,10 +128,13 @@
 
 
 def plan_fan_out(factor, seconds, **more):
-    """A request of four legs, one of them narrow."""
-    legs = ("s1", "s2", "s3", "s4")
+    """Return a plan in which each request makes four concurrent nested calls.
+
+    One of the called services is the bottleneck.
+    """
+    downstream = ("s1", "s2", "s3", "s4")
     services = (
-        Service("s0", legs=legs),
+        Service("s0", downstream=downstream),
         Service("s1", work=0.02),
         Service("s2", work=0.02),
         Service("s3", work=0.02),
@@ -133,13 +144,13 @@
 
 
 class Mesh(NamedTuple):
-    """Sizes of one of the two users, of which the narrowest service counts.
+    """Sizes of a deployment's services.
 
     Attributes:
-        endpoints: Endpoints of the narrowest service.
-        slots: Slots of each.
-        work: Assumed seconds of work there.
-        wide: Slots of each endpoint of the others.
+        endpoints: Number of endpoints of each service.
+        slots: Slots of each endpoint of the bottleneck service.
+        work: Assumed mean service time of the bottleneck service in seconds.
+        wide: Slots of each endpoint of the other services.
     """
 
     endpoints: int
@@ -153,9 +164,14 @@
 
 
 def plan_mesh(mesh, seconds, **more):
-    """Five times the capacity of a user's narrowest service, then 0.7 of it."""
+    """Return a plan of 5, then 0.7 times the capacity of a deployment."""
     wide = [
-        Service(f"s{i}", slots=mesh.wide, endpoints=mesh.endpoints, legs=(f"s{i + 1}",))
+        Service(
+            f"s{i}",
+            slots=mesh.wide,
+            endpoints=mesh.endpoints,
+            downstream=(f"s{i + 1}",),
+        )
         for i in range(3)
     ]
     narrow = Service("s3", mesh.work, mesh.slots, mesh.endpoints)
