--- a/bench/regression.py
+++ b/bench/regression.py
@@ -1,9 +1,10 @@
-"""Both versions of days of the users' deployments, side by side.
+"""Compares two versions of this repository on days of the users' deployments.
 
 ``python -m bench.regression --player PROGRAM --sites FOLDER BASE`` clones this
-repository twice, plays each day on ``BASE`` and on the present commit at the same time,
-so that both have the same machine, and tells which days fell. The users' program and
-site files lie beside the repository and are named on the command line.
+repository twice and plays each day on ``BASE`` and on the present commit. Both run at
+the same time, so that the load of the machine affects them alike. The output marks
+the days on which the present commit is worse. The users' program and site files are
+not part of the repository; the command line names them.
 """
 
 import argparse
@@ -16,18 +17,18 @@
 import tempfile
 from typing import NamedTuple
 
-# A smaller change of what a day is worth is noise, as processor time is measured.
-LARGEST_FALL = 0.03
+# Smaller losses are noise: the worth of a day depends on measured processor time.
+MAX_WORTH_LOSS = 0.03
 
 
 class Day(NamedTuple):
-    """A day of a deployment.
+    """Day of a deployment.
 
     Attributes:
-        site: Path of its site file without its end.
+        site: Path of the site file, relative to the folder and without extension.
         name: Name of the day.
-        in_turn: Whether one version is played after the other, since both at once
-            take too much memory.
+        in_turn: Whether to play the versions sequentially, since both at once need
+            too much memory.
     """
 
     site: str
@@ -35,7 +36,7 @@
     in_turn: bool = False
 
 
-# One day with trouble and one of high load of each deployment.
+# Days with faults ("trouble") and days of high load ("scale").
 DAYS = (
     Day("large/cspp-mesh-large", "trouble-1", in_turn=True),
     Day("large/cspp-mesh-large", "scale-2", in_turn=True),
@@ -48,13 +49,13 @@
 
 
 class Result(NamedTuple):
-    """What one version made of a day.
+    """Result of one version on a day.
 
     Attributes:
-        worth: What the day was worth, after prices.
-        served: Credit earned of the credit owed.
-        passed: Whether no rule broke and the day's floors were reached.
-        problem: Why not, or why it was given up, "" for nothing.
+        worth: Worth of the day, after prices.
+        served: Share of the possible credit that was earned.
+        passed: Whether no rule was violated and the day's minimums were reached.
+        problem: Why the day didn't pass or was aborted, "" if there is no problem.
     """
 
     worth: float
@@ -64,7 +65,7 @@
 
 
 class Pair(NamedTuple):
-    """A day on both versions; a result is None where the day was not played."""
+    """Results of a day on both versions, None for a version without a result."""
 
     day: Day
     before: Result | None
@@ -72,16 +73,16 @@
 
     @property
     def fell(self):
-        """Whether the day got worse by more than noise, or has no result."""
+        """Whether the day became worse by more than noise, or has no result."""
         if self.before is None or self.after is None:
             return True
         if self.before.passed and not self.after.passed:
             return True
-        return self.before.worth - self.after.worth > LARGEST_FALL
+        return self.before.worth - self.after.worth > MAX_WORTH_LOSS
 
 
 def read_result(text):
-    """Return the `Result` in a journal entry of one day, None where there is none."""
+    """Return the `Result` in the text of a journal entry, or None without a day."""
     days = json.loads(text).get("days") or []
     if not days:
         return None
@@ -96,7 +97,7 @@
 
 
 def render_pairs(pairs):
-    """Return the lines of a table of `Pair` tuples."""
+    """Return the lines of a table that compares the `Pair` tuples."""
     lines = ["site and day                                   worth          served"]
     for pair in pairs:
         name = f"{pair.day.site} {pair.day.name}"
@@ -118,20 +119,25 @@
 
 
 def main(arguments=None):
-    """Run the command; return 1 if a day fell."""
+    """Run the command; return 1 if a day became worse, else 0."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("base", help="commit to compare with")
+    parser.add_argument("base", help="commit to compare the present one with")
     parser.add_argument(
-        "--player", required=True, type=_find_path, help="the users' program"
+        "--player", required=True, type=_find_path, help="path of the users' program"
     )
-    parser.add_argument("--sites", required=True, type=_find_path, help="folder")
     parser.add_argument(
-        "--day", action="append", metavar="SITE:DAY", help="this one; may be repeated"
+        "--sites", required=True, type=_find_path, help="folder of the site files"
+    )
+    parser.add_argument(
+        "--day",
+        action="append",
+        metavar="SITE:DAY",
+        help="day to play; may be repeated",
     )
     parser.add_argument(
         "--in-turn",
         action="store_true",
-        help="the days named by --day one version after the other",
+        help="play the versions of the days named by --day sequentially",
     )
     options = parser.parse_args(arguments)
     days = DAYS
@@ -140,7 +146,7 @@
             Day(*text.rsplit(":", 1), in_turn=options.in_turn) for text in options.day
         ]
     root = pathlib.Path.cwd()
-    # The users' program starts no daemons below the folder for temporary files.
+    # The users' program can't start daemons from the folder for temporary files.
     copies = pathlib.Path(
         tempfile.mkdtemp(prefix="regression.", dir=pathlib.Path.home())
     )
@@ -167,7 +173,7 @@
 
 
 def _play(day, clones, options):
-    """Play a day in both clones; return the `Pair`."""
+    """Play a day on both versions and return the `Pair`."""
     site = options.sites / f"{day.site}.toml"
     command = [options.player, "run", site, day.name, "--jobs", "1"]
     why = ["--why", f"both versions at the same time, base {options.base}"]
@@ -197,7 +203,7 @@
 
 
 def _keep_journal(clone, root):
-    """Copy what the journal of a clone has that this repository hasn't."""
+    """Copy the journal files of a clone that are missing in this repository."""
     for folder, _, names in os.walk(clone / "journal"):
         target = root / pathlib.Path(folder).relative_to(clone)
         target.mkdir(parents=True, exist_ok=True)
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,12 +1,12 @@
-"""Three ways of calls between daemons, side by side in one run.
+"""Compares three transports for calls between daemons.
 
-``python -m bench.ways``. Each way carries the same typed request and answer, with
-its own encoding, between two ends in this process, so the processor time counted
-is that of client and server together. Rounds of all ways take turns, so that a busy
-machine slows all of them alike; what counts is the ratio to the first.
+``python -m bench.ways``. Each transport carries the same request and answer between
+a client and a server in this process, so the processor time includes both. Rounds
+of the transports alternate, so that other load on the machine slows all of them
+alike; compare their ratios to the first.
 
-- frames: msgpack over one connection for each pair (`whinwinch.daemons.links`)
-- http: the same bytes as body of a POST over kept connections
+- frames: msgpack over one connection per pair of daemons (`whinwinch.daemons.links`)
+- http: the same bytes as the body of a POST over persistent connections
 - grpc: the same bytes over `grpc.aio`
 """
 
@@ -24,28 +24,28 @@
 from whinwinch.http1.messages import HttpRequest, HttpResponse, format_request
 
 LOCAL = "127.0.0.1"
-# As on the platform's meshes: a request of some headers, an answer of a kilobyte.
+# Typical sizes on the platform: six request headers and an answer of 1 kB.
 HEADERS = tuple((f"X-Header-{number}", "v" * 24) for number in range(6))
 BODY = b"." * 1000
 DEADLINE_SECONDS = 60.0
 
 
 class Round(NamedTuple):
-    """What the calls of one round cost.
+    """Costs of the calls of one round.
 
     Attributes:
-        used: Processor seconds for each call.
-        median: Median seconds of a call.
-        slowest: 99th percentile of these.
+        used: Processor seconds per call.
+        median: Median latency in seconds.
+        p99: 99th percentile of the latency in seconds.
     """
 
     used: float
     median: float
-    slowest: float
+    p99: float
 
 
 def build_request():
-    """Return one more request, as a daemon sends it."""
+    """Return a new request with fresh identifiers."""
     now = asyncio.get_running_loop().time()
     return messages.Request(
         attempt=messages.new_identifier(),
@@ -61,18 +61,18 @@
 
 
 async def answer_at_once(request):
-    """Return the answer that every server of this page gives."""
+    """Return the fixed answer of the servers of all transports."""
     return messages.Answer(
         request.attempt, messages.Outcome.COMPLETED, status=200, body=BODY
     )
 
 
 async def open_frames():
-    """Return a call over frames, and what closes both ends."""
+    """Return functions to make a call over frames and to close both ends."""
     serving = exchange.Exchange(frames.Hello("s", "s"), answer_at_once, None)
     port = await serving.listen(LOCAL, 0)
     peers = links.Peers(frames.Hello("c", "c"), lambda address, news: None)
-    # A daemon introduces itself before anything else.
+    # The server reports its endpoint before any other frame.
     serving.news = frames.News(messages.Endpoint("s", "s", ""))
     peer = peers.find(f"{LOCAL}:{port}")
 
@@ -84,7 +84,7 @@
 
 
 async def open_http():
-    """Return a call over HTTP, and what closes both ends."""
+    """Return functions to make a call over HTTP and to close both ends."""
     loop = asyncio.get_running_loop()
 
     def decode(data):
@@ -116,9 +116,9 @@
 
 
 async def open_grpc():
-    """Return a call over gRPC, and what closes both ends.
+    """Return functions to make a call over gRPC and to close both ends.
 
-    The messages are the bytes of the frames: what is compared is the way.
+    The messages are the encoded frames, so that only the transport differs.
     """
     import grpc
 
@@ -143,10 +143,10 @@
     port = serving.add_insecure_port(f"{LOCAL}:0")
     await serving.start()
     channel = grpc.aio.insecure_channel(f"{LOCAL}:{port}")
-    ask = channel.unary_unary("/Peer/Call", encode, decode)
+    send_call = channel.unary_unary("/Peer/Call", encode, decode)
 
     async def call(request):
-        return (await ask(frames.Call(1, request))).answer
+        return (await send_call(frames.Call(1, request))).answer
 
     async def close():
         await channel.close()
@@ -159,7 +159,7 @@
 
 
 async def play_round(call, calls, at_once):
-    """Make some calls, a number of them at once, and return their `Round`."""
+    """Make `calls` calls, `at_once` of them concurrently; return their `Round`."""
     seconds = []
 
     async def work(count):
@@ -169,18 +169,18 @@
             answer = await call(request)
             seconds.append(time.perf_counter() - began)
             if answer.body != BODY or answer.attempt != request.attempt:
-                raise RuntimeError("another answer than was asked for")
+                raise RuntimeError("answer does not match its request")
 
     used = time.process_time()
     await asyncio.gather(*(work(calls // at_once) for _ in range(at_once)))
     used = time.process_time() - used
     seconds.sort()
-    slowest = seconds[math.ceil(0.99 * len(seconds)) - 1]
-    return Round(used / len(seconds), statistics.median(seconds), slowest)
+    p99 = seconds[math.ceil(0.99 * len(seconds)) - 1]
+    return Round(used / len(seconds), statistics.median(seconds), p99)
 
 
 async def play(rounds, calls, at_once):
-    """Return the `Round` tuples of each way, by its name."""
+    """Return the `Round` tuples of each transport by name, after a warm-up round."""
     opened = {name: await open_way() for name, open_way in WAYS.items()}
     results = {name: [] for name in WAYS}
     for call, _ in opened.values():
@@ -194,17 +194,16 @@
 
 
 def print_results(results):
-    """Print a line a way: medians over the rounds, and the ratio to the first."""
+    """Print each transport's medians over the rounds and its ratio to the first."""
     print("way      processor ms a call   ratio   median ms   p99 ms")
     first = None
     for name, rounds in results.items():
-        used, median, slowest = (
+        used, median, p99 = (
             1000 * statistics.median(values) for values in zip(*rounds, strict=True)
         )
         first = first or used
         print(
-            f"{name:<8} {used:>19.3f} {used / first:>7.2f} {median:>11.2f}"
-            f" {slowest:>8.2f}"
+            f"{name:<8} {used:>19.3f} {used / first:>7.2f} {median:>11.2f} {p99:>8.2f}"
         )
 
 
@@ -212,7 +211,7 @@
     """Run the command; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--rounds", type=int, default=5)
-    parser.add_argument("--calls", type=int, default=2000, help="in each round")
+    parser.add_argument("--calls", type=int, default=2000, help="calls per round")
     parser.add_argument("--at-once", type=int, default=16)
     options = parser.parse_args(arguments)
     results = asyncio.run(play(options.rounds, options.calls, options.at_once))
--- a/test/bench/test_regression.py
+++ b/test/bench/test_regression.py
@@ -1,4 +1,4 @@
-"""Tests of the comparison of two versions on days of the users' deployments."""
+"""Tests of the comparison of two versions on days of deployments."""
 
 import contextlib
 import io
@@ -13,7 +13,7 @@
 
 DAY = regression.Day("sites/press", "trouble-1")
 GOOD = regression.Result(0.5, 0.9, True)
-# Plays a day: writes a journal entry that is worth what the file `worth` says.
+# Program that writes a journal entry with the worth that the file `worth` contains.
 PLAYER = """#!/usr/bin/env python3
 import json, pathlib, sys
 day = {"G": float(pathlib.Path("worth").read_text()), "served": 0.9, "gate": True}
@@ -23,7 +23,7 @@
 
 
 def build_entry(**fields):
-    """Return the text of a journal entry of one day."""
+    """Return the text of a journal entry with one day."""
     day = {"G": 0.5, "served": 0.9, "gate": True, "fault": None, "rules": {}}
     return json.dumps({"days": [{**day, "short": [], **fields}]})
 
@@ -32,16 +32,16 @@
     def test_day_that_passes(self):
         self.assertEqual(regression.read_result(build_entry()), GOOD)
 
-    def test_day_with_a_broken_rule(self):
+    def test_day_with_a_violated_rule(self):
         result = regression.read_result(build_entry(rules={"TWICE": 1}, gate=False))
         self.assertFalse(result.passed)
         self.assertEqual(result.problem, "TWICE")
 
-    def test_day_that_was_given_up(self):
+    def test_aborted_day(self):
         result = regression.read_result(build_entry(fault="too slow"))
         self.assertFalse(result.passed)
 
-    def test_run_that_was_ended(self):
+    def test_run_that_ended_before_a_day(self):
         self.assertIsNone(regression.read_result(json.dumps({"days": []})))
 
 
@@ -49,20 +49,20 @@
     def fell(self, before, after):
         return regression.Pair(DAY, before, after).fell
 
-    def test_noise_is_no_fall(self):
+    def test_noise_is_no_loss(self):
         self.assertFalse(self.fell(GOOD, GOOD._replace(worth=0.475)))
 
-    def test_more_than_noise_is_a_fall(self):
+    def test_more_than_noise_is_a_loss(self):
         self.assertTrue(self.fell(GOOD, GOOD._replace(worth=0.465)))
 
-    def test_day_that_no_longer_passes_fell(self):
+    def test_day_that_no_longer_passes_is_worse(self):
         after = GOOD._replace(worth=0.6, passed=False, problem="TWICE")
         self.assertTrue(self.fell(GOOD, after))
         lines = regression.render_pairs([regression.Pair(DAY, GOOD, after)])
         self.assertIn("FELL", lines[1])
         self.assertIn("after: TWICE", lines[2])
 
-    def test_day_that_was_not_played_counts_as_fallen(self):
+    def test_day_without_result_counts_as_worse(self):
         self.assertTrue(self.fell(GOOD, None))
 
 
@@ -100,13 +100,13 @@
             code = regression.main([*words, "--day", "press:trouble-1"])
         return code, out.getvalue()
 
-    def test_version_that_falls_is_told(self):
+    def test_worse_version_is_reported(self):
         self.commit("0.30")
         code, text = self.compare()
         self.assertEqual(code, 1)
         self.assertIn("0.500 -> 0.300", text)
 
-    def test_version_that_holds_and_the_journal_is_kept(self):
+    def test_equal_version_passes_and_the_journal_is_kept(self):
         self.commit("0.51")
         code, text = self.compare()
         self.assertEqual(code, 0)
