--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: latency, decisions under load, slopes."""
+"""Benchmarks: latency, overload scenarios, and scaling of costs with size."""
--- a/bench/clocks.py
+++ b/bench/clocks.py
@@ -1,11 +1,11 @@
-"""An event loop whose clock jumps to the next timer instead of waiting."""
+"""Event loop with a virtual clock that advances to the next timer."""
 
 import asyncio
 import selectors
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Advances the clock by the time that the loop would have waited."""
+    """Selector that advances the clock by the timeout instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -13,20 +13,20 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("nothing is left to wait for")
+            raise RuntimeError("event loop has no timers and would wait forever")
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
 class JumpingLoop(asyncio.SelectorEventLoop):
-    """Event loop for work that needs no sockets and no threads."""
+    """Event loop with a virtual clock, for coroutines without sockets or threads."""
 
     def __init__(self):
         self._jumping = _JumpingSelector()
         super().__init__(self._jumping)
 
     def time(self):
-        """Return the seconds that have passed on this clock."""
+        """Return the time of the virtual clock in seconds."""
         return self._jumping.now
 
 
--- a/bench/echo.py
+++ b/bench/echo.py
@@ -1,6 +1,6 @@
-"""Servers that answer at once, each one layer of a daemon's path by itself.
+"""Servers that answer immediately, to measure each layer of a daemon's HTTP path.
 
-``python -m bench.echo LAYER --address HOST:PORT``.
+``python -m bench.echo LAYER --address HOST:PORT`` starts the server of one layer.
 """
 
 import argparse
@@ -18,14 +18,14 @@
 
 
 def answer_http(environ, start_response):
-    """Answer any request at once; a WSGI callable."""
+    """Answer any request immediately; a WSGI callable."""
     del environ
     start_response("200 OK", [("Content-Length", str(len(BODY)))])
     return [BODY]
 
 
 def start_cheroot(address):
-    """Serve the callable by cheroot alone."""
+    """Serve `answer_http` with cheroot alone; return a function that stops it."""
     server = wsgi.Server(tuple(address), answer_http, numthreads=THREADS)
     server.keep_alive_conn_limit = None
     server.prepare()
@@ -34,7 +34,7 @@
 
 
 def start_cherrypy(address):
-    """Serve the callable as one grafted into cherrypy's tree."""
+    """Serve `answer_http` grafted into cherrypy; return a function that stops it."""
     import cherrypy
 
     cherrypy.config.update(
@@ -53,7 +53,7 @@
 
 
 def start_page(address):
-    """Serve by a page handler of cherrypy's dispatcher."""
+    """Serve with a page handler of cherrypy; return a function that stops it."""
     import cherrypy
 
     class Root:
@@ -68,7 +68,11 @@
 
 
 def start_loop(address):
-    """Serve on an event loop by the package's own HTTP server, on a thread."""
+    """Serve with `whinwinch.http1.server` on an event loop in a thread.
+
+    Returns:
+        A function that stops the event loop.
+    """
     loop = asyncio.new_event_loop()
 
     async def answer(http, sender):
@@ -83,7 +87,7 @@
     return lambda: loop.call_soon_threadsafe(loop.stop)
 
 
-# Each starts a server and returns the function that stops it.
+# Functions that start a server and return a function that stops it.
 LAYERS = {
     "cheroot": start_cheroot,
     "cherrypy": start_cherrypy,
@@ -93,7 +97,7 @@
 
 
 def main(arguments=None):
-    """Serve one layer until SIGTERM."""
+    """Start the server of one layer and stop it at SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("layer", choices=LAYERS)
     parser.add_argument("--address", type=serving.parse_address, required=True)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
-"""What the size of a fleet costs a daemon: links, evenness, the choice of an endpoint.
+"""Measures how costs of a daemon grow with the fleet: links, balance, placement.
 
-``python -m bench.fleet`` works on the decisions alone, at sizes from a dozen daemons to
-those of two years from now. Times are of one process, best of several.
+``python -m bench.fleet`` runs the decision modules in one process, without a network,
+for fleets of 12 to 4500 daemons. Times are the best of `TRIES` runs.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 
 class Fleet(NamedTuple):
-    """A fleet to look at: daemons, their services and availability zones."""
+    """Size of a fleet: numbers of daemons, services and availability zones."""
 
     daemons: int
     services: int
@@ -27,15 +27,15 @@
 
 
 class Row(NamedTuple):
-    """What one size costs.
+    """Measured costs of one fleet size.
 
     Attributes:
-        fleet: `Fleet`.
-        links: Mean links of a daemon that calls four services.
-        fewest: Callers of the endpoint that has fewest, for the mean.
-        most: Callers of the endpoint that has most, for the mean.
+        fleet: The `Fleet`.
+        links: Mean number of links of a daemon that calls four services.
+        fewest: Minimum number of callers of an endpoint, relative to the mean.
+        most: Maximum number of callers of an endpoint, relative to the mean.
         choice: Microseconds to choose an endpoint.
-        change: Milliseconds to take in one changed member.
+        change: Milliseconds to apply the change of one member.
     """
 
     fleet: Fleet
@@ -53,11 +53,11 @@
     Fleet(1000, 20, 6),
     Fleet(4500, 890, 9),
 )
-CALLED = 4
+CALLED_SERVICES = 4
 
 
 def main():
-    """Print the table; return the exit code."""
+    """Measure all fleets and print the table; return the exit code."""
     print("daemons services zones  links  callers of an endpoint  choice  change")
     print("                               fewest/mean most/mean       µs      ms")
     for fleet in FLEETS:
@@ -71,7 +71,7 @@
 
 
 def build_mesh(fleet):
-    """Return endpoints, the services dealt out unevenly over the zones."""
+    """Return the endpoints of a fleet, in randomly drawn zones."""
     draw = random.Random(1)
     return [
         messages.Endpoint(
@@ -89,48 +89,48 @@
 def measure(fleet):
     """Return the `Row` of a fleet."""
     mesh = build_mesh(fleet)
-    known = directory.Directory("")
+    members = directory.Directory("")
     for endpoint in mesh:
-        known.apply_report(endpoint.address, endpoint)
+        members.apply_report(endpoint.address, endpoint)
     draw = random.Random(2)
     callers, links = collections.Counter(), []
-    for own in mesh:
+    for local in mesh:
         used = set()
         for service in choose_called(fleet, draw):
-            preferred = subsets.Subsets(own.address, own.zone, known).list_preferred(
-                service
-            )
+            preferred = subsets.Subsets(
+                local.address, local.zone, members
+            ).list_preferred(service)
             used.update(e.address for e in preferred[: subsets.SUBSET_SIZE])
         callers.update(used)
         links.append(len(used))
-        if len(links) >= SAMPLE * 10 and fleet.services > CALLED:
+        if len(links) >= SAMPLE * 10 and fleet.services > CALLED_SERVICES:
             break
     counts = [callers[endpoint.address] for endpoint in mesh]
     mean = sum(counts) / len(counts)
-    is_whole = fleet.services == CALLED
+    is_whole = fleet.services == CALLED_SERVICES
     return Row(
         fleet,
         sum(links) / len(links),
         min(counts) / mean if is_whole else float("nan"),
         max(counts) / mean if is_whole else float("nan"),
-        time_choice(mesh, known),
-        time_change(mesh, known),
+        time_choice(mesh, members),
+        time_change(mesh, members),
     )
 
 
 def choose_called(fleet, draw):
-    """Return the services that one daemon calls."""
-    return [f"s{n}" for n in draw.sample(range(fleet.services), CALLED)]
+    """Return a random sample of services for one daemon to call."""
+    return [f"s{n}" for n in draw.sample(range(fleet.services), CALLED_SERVICES)]
 
 
-def time_choice(mesh, known):
-    """Return the microseconds of one choice among the endpoints of a service."""
-    own = mesh[0]
+def time_choice(mesh, members):
+    """Return the microseconds to choose an endpoint of a service."""
+    local = mesh[0]
     request = messages.Request(
         "x", "x", "s0", "c", "GET", "/", messages.Importance.NORMAL, 10.0
     )
-    preferences = subsets.Subsets(own.address, own.zone, known)
-    chooser = placement.Placement(own.zone, random.Random(3))
+    preferences = subsets.Subsets(local.address, local.zone, members)
+    chooser = placement.Placement(local.zone, random.Random(3))
 
     def choose():
         for _ in range(CHOICES):
@@ -141,22 +141,22 @@
     return time_best(choose) / CHOICES * 1e6
 
 
-def time_change(mesh, known):
-    """Return the milliseconds in which a daemon takes in one changed member."""
-    own = mesh[0]
-    preferences = subsets.Subsets(own.address, own.zone, known)
+def time_change(mesh, members):
+    """Return the milliseconds that a daemon needs to apply one changed member."""
+    local = mesh[0]
+    preferences = subsets.Subsets(local.address, local.zone, members)
     slots = iter(range(100, 1000))
 
     def change():
-        known.apply_report(mesh[-1].address, mesh[-1]._replace(slots=next(slots)))
+        members.apply_report(mesh[-1].address, mesh[-1]._replace(slots=next(slots)))
         preferences.list_preferred("s0")
-        sources.Ranks(own.address, own.zone, known.all_endpoints)
+        sources.Ranks(local.address, local.zone, members.all_endpoints)
 
     return time_best(change) * 1e3
 
 
 def time_best(work):
-    """Return the seconds of the quickest of some tries."""
+    """Return the shortest duration of `TRIES` runs in seconds."""
     best = float("inf")
     for _ in range(TRIES):
         began = time.perf_counter()
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,17 +1,17 @@
-"""What a daemon adds to a call, and what it takes while idle (``make bench``).
+"""Measures the latency that daemons add and their idle cost (``make bench``).
 
-Three ways through daemons are held against the same requests sent straight to
-the backend servers, at 107 calls a second and as many out again, the load of a
-daemon in two years:
+Three routes through daemons are compared with the same requests sent directly to
+the backend servers. The rate is 107 calls per second, the load expected of one
+daemon in two years, with as many outgoing calls:
 
-- entry: the daemon that the caller enters by guards the service wanted;
-- remote: it hands the call to the daemon of another service;
-- chain: its backend server calls another service on, through it.
+- entry: the entry daemon runs beside a backend server of the called service;
+- remote: the entry daemon sends the call to a daemon of another service;
+- chain: the backend server makes a nested call through its own daemon.
 
-With and without daemons take turns, so that what else the machine does meets
-both alike. Then the layers of the path by themselves, one call at a time, and
-the resident memory and processor time of a daemon. Backend servers take no
-service time of their own.
+Runs with and without daemons alternate, so that other load on the machine affects
+both alike. The command also measures each layer of the path alone, with sequential
+calls, and the resident memory and processor time of a daemon. The backend servers
+have a service time of zero.
 """
 
 import argparse
@@ -29,13 +29,13 @@
 from standins import caller, processes, sender, serving, trace
 
 RATE = 107.0
-CALLERS_THREADS = 32
+CALLER_THREADS = 32
 TURNS = 3
 IDLE_SECONDS = 10.0
 LAYER_CALLS = 1500
 LAYER_WARM_UP = 200
-# Microseconds; three digits keep a hundredth of the 1.4 ms allowed apart.
-LONGEST = 60_000_000
+# Three digits resolve a hundredth of the allowed 1.4 ms.
+MAX_LATENCY_MICROSECONDS = 60_000_000
 DIGITS = 3
 MICROSECONDS = 1_000_000
 
@@ -47,11 +47,11 @@
 
 
 class Case(NamedTuple):
-    """One way through daemons.
+    """Route of a call through daemons.
 
     Attributes:
         name: Name in the table.
-        request: The request to repeat.
+        request: Request to repeat.
     """
 
     name: str
@@ -59,18 +59,18 @@
 
 
 class Usage(NamedTuple):
-    """What a process has taken.
+    """Resource usage of a process.
 
     Attributes:
         resident: Resident memory in MiB.
-        processor: Processor time in seconds.
+        processor: Processor time in seconds, or its share of a core in percent.
     """
 
     resident: float
     processor: float
 
 
-# All of them enter by the catalog's daemon.
+# The catalog's daemon is the entry daemon of all cases.
 CASES = (
     Case("entry", trace.Request(0.0, "catalog", path="/books")),
     Case("remote", trace.Request(0.0, "archive", path="/listings")),
@@ -84,8 +84,10 @@
 def main(arguments=None):
     """Measure and print everything; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--seconds", type=float, default=6.0, help="of each turn")
-    parser.add_argument("--rate", type=float, default=RATE, help="calls a second")
+    parser.add_argument(
+        "--seconds", type=float, default=6.0, help="duration of each turn"
+    )
+    parser.add_argument("--rate", type=float, default=RATE, help="calls per second")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--output", help="directory for the processes' output")
     parser.add_argument("--only", choices=("daemons", "layers"))
@@ -101,7 +103,7 @@
 
 
 def measure(started, options):
-    """Measure what is asked for and stop all processes."""
+    """Run the measurements that `options` select and stop all processes."""
     with started as running:
         if options.only != "daemons":
             measure_layers(running)
@@ -110,7 +112,7 @@
 
 
 def measure_daemons(running, options):
-    """Measure the cases, then a daemon's memory and processor time."""
+    """Measure the cases, and a daemon's memory and idle processor time."""
     nodes = mesh.place_nodes(SERVICES, ZONES)
     started = mesh.start_mesh(running, nodes)
     mesh.wait_until_ready(running, started)
@@ -128,7 +130,7 @@
 
 
 def measure_idle(daemon):
-    """Return the memory of an idle daemon and its share of a core in percent."""
+    """Return an idle daemon's memory and its share of a core in percent."""
     before = read_usage(daemon)
     time.sleep(IDLE_SECONDS)
     after = read_usage(daemon)
@@ -137,12 +139,12 @@
 
 
 def read_usage(process):
-    """Read what a process has taken so far."""
+    """Return the memory and the total processor time of a process."""
     directory = pathlib.Path(f"/proc/{process.popen.pid}")
     lines = (directory / "status").read_text().splitlines()
     (resident,) = (line.split()[1] for line in lines if line.startswith("VmRSS"))
-    # Processor time in schedstat is in nanoseconds, where stat counts ticks of
-    # 10 ms, a tenth of a percent over the whole of IDLE_SECONDS.
+    # schedstat has nanoseconds; the 10 ms ticks of stat would be too coarse: one
+    # tick is 0.1 % of IDLE_SECONDS.
     times = [
         int((task / "schedstat").read_text().split()[0])
         for task in (directory / "task").iterdir()
@@ -151,7 +153,7 @@
 
 
 def measure_case(case, nodes, daemon, options):
-    """Play a case with and without daemons in turns and print both."""
+    """Measure a case alternately with and without daemons; print both results."""
     by_service = {node.service.name: node for node in nodes}
     backend = by_service[case.request.service].backend_url
     entry = by_service["catalog"].entry_url
@@ -160,24 +162,24 @@
         "daemons": sender.build_sender([entry]),
     }
     sent = {name: [] for name in senders}
-    taken = 0.0
+    processor_seconds = 0.0
     for turn in range(TURNS + 1):
         requests = schedule_calls(case.request, options, turn)
         for name, send in senders.items():
-            threads = CALLERS_THREADS
+            threads = CALLER_THREADS
             before = read_usage(daemon).processor
             results = caller.play(requests, send, caller.Retry.NONE, threads)
             # The first turn opens connections and warms both sides up.
             if turn:
                 sent[name] += [result.last for result in results]
-                taken += read_usage(daemon).processor - before
+                processor_seconds += read_usage(daemon).processor - before
     print_comparison(case.name, sent["direct"], sent["daemons"])
-    each = 1000 * taken / len(sent["daemons"])
+    each = 1000 * processor_seconds / len(sent["daemons"])
     print_row(f"{case.name} processor", f"{each:.2f}", "ms a call")
 
 
 def schedule_calls(request, options, turn):
-    """Return calls with Poisson arrivals at the rate asked for."""
+    """Return calls with Poisson arrivals at the configured rate."""
     draw = random.Random(f"{options.seed}-{turn}")
     requests, at = [], 0.0
     while (at := at + draw.expovariate(options.rate)) < options.seconds:
@@ -186,7 +188,7 @@
 
 
 def print_comparison(name, direct, through):
-    """Print a case's latencies, their difference and their ratio."""
+    """Print a case's latencies with and without daemons, difference and ratio."""
     before, after = find_quantiles(direct), find_quantiles(through)
     for label, sent, found in (("direct", direct, before), ("daemons", through, after)):
         bad = sum(not each.succeeded for each in sent)
@@ -198,15 +200,15 @@
 
 
 def find_quantiles(sent):
-    """Return median and 99th percentile of latencies, in milliseconds."""
-    histogram = HdrHistogram(1, LONGEST, DIGITS)
+    """Return the median and the 99th percentile latency in milliseconds."""
+    histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, DIGITS)
     for each in sent:
         histogram.record_value(int(each.latency * MICROSECONDS))
     return [histogram.get_value_at_percentile(share) / 1000 for share in (50, 99)]
 
 
 def measure_layers(running):
-    """Measure each layer by itself, one call at a time on a kept connection."""
+    """Measure each layer alone, with sequential calls on a persistent connection."""
     print_row("one at a time", "median ms", "p99 ms")
     layers = (
         ("socket, cheroot", "cheroot", build_socket_call),
@@ -228,7 +230,7 @@
 
 
 def can_connect(address):
-    """Return whether a server listens."""
+    """Return whether a server accepts connections at an address."""
     try:
         socket.create_connection(tuple(address), timeout=1.0).close()
     except OSError:
@@ -237,19 +239,22 @@
 
 
 def time_calls(call):
-    """Make calls one after the other and return a histogram of microseconds."""
-    histogram = HdrHistogram(1, LONGEST, DIGITS)
+    """Make sequential calls; return a histogram of their microseconds."""
+    histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, DIGITS)
     for number in range(LAYER_WARM_UP + LAYER_CALLS):
         began = time.perf_counter()
         call()
-        taken = time.perf_counter() - began
+        latency = time.perf_counter() - began
         if number >= LAYER_WARM_UP:
-            histogram.record_value(int(taken * MICROSECONDS))
+            histogram.record_value(int(latency * MICROSECONDS))
     return histogram
 
 
 def build_socket_call(address):
-    """Return a call by a bare socket, which shows what the server alone takes."""
+    """Return a function that makes a call over a bare socket.
+
+    It adds almost no client time, so that its latency is that of the server.
+    """
     connection = socket.create_connection(tuple(address))
     request = f"GET / HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
 
@@ -261,18 +266,18 @@
 
 
 def build_urllib3_call(address):
-    """Return a call by urllib3 on a kept connection."""
+    """Return a function that makes a call with urllib3 on a persistent connection."""
     pool = urllib3.HTTPConnectionPool(address.host, address.port, retries=False)
     return lambda: pool.request("GET", "/").data
 
 
 def format_numbers(values):
-    """Return numbers with two digits."""
+    """Format numbers with two decimal places."""
     return [f"{value:.2f}" for value in values]
 
 
 def print_row(name, *cells):
-    """Print one row of a table at once."""
+    """Print one row of a table and flush it."""
     print(f"{name:<18}" + "".join(f"{cell:>14}" for cell in cells), flush=True)
 
 
--- a/bench/network.py
+++ b/bench/network.py
@@ -1,7 +1,7 @@
-"""Gossip among many daemons in one process: a network in memory.
+"""In-memory network for gossip among many daemons in one process.
 
-The tasks, the state and the messages are those of the daemon; only the
-transport and the clock are replaced.
+Tasks, state and messages are those of a daemon; only the transport and the clock
+are replaced.
 """
 
 import asyncio
@@ -11,31 +11,32 @@
 from whinwinch import membership, membertable
 from whinwinch.daemons import gossip, peer_pb2
 
-# One way, in seconds: within a zone, between zones, between regions.
+# One-way delays in seconds: within a zone, between zones, between regions.
 DELAYS = (0.0005, 0.0015, 0.075)
 
 
 def find_delay(sender, receiver):
-    """Return the seconds that a message takes one way between two endpoints."""
+    """Return the one-way delay between two endpoints in seconds."""
     if sender.region != receiver.region:
         return DELAYS[2]
     return DELAYS[0] if sender.zone == receiver.zone else DELAYS[1]
 
 
 class Network:
-    """Daemons by address.
+    """In-memory network that connects daemons by address.
 
-    Messages are copied as the wire would copy them. A message to a daemon that
-    isn't there, or from one that was replaced, is lost.
+    Each message is serialized and parsed, as over a real connection. Sending fails
+    for a receiver that doesn't exist and for a sender that was replaced.
 
     Args:
-        reaches: Tells whether a message between two addresses arrives.
+        reaches: Function that returns whether a message from one address to
+            another arrives.
 
     Attributes:
         daemons: `gossip.Gossip` by address.
-        largest: Bytes of the largest message.
-        sent: Bytes of all messages and answers.
-        exchanges: Messages that were answered.
+        largest: Size of the largest message or answer in bytes.
+        sent: Total size of all messages and answers in bytes.
+        exchanges: Number of answered messages.
     """
 
     def __init__(self, reaches=lambda sender, receiver: True):
@@ -46,7 +47,7 @@
         self.exchanges = 0
 
     def add(self, members, relay):
-        """Connect a daemon; return its `gossip.Gossip`."""
+        """Add a daemon to the network; return its `gossip.Gossip`."""
         endpoint = members.local_member.endpoint
 
         async def send(address, message):
@@ -57,7 +58,7 @@
         return daemon
 
     async def run(self, steps):
-        """Run all daemons' tasks while the coroutine `steps` runs."""
+        """Run the gossip tasks of all daemons until the coroutine `steps` ends."""
         tasks = [
             asyncio.create_task(gossip.run_gossip(daemon, random.Random(number)))
             for number, daemon in enumerate(self.daemons.values())
@@ -101,23 +102,23 @@
 
 
 async def wait_for(condition, seconds=200.0, interval=0.1):
-    """Wait until a condition holds, for so many seconds of the loop at most.
+    """Wait until a condition holds, for at most `seconds` on the loop's clock.
 
     Raises:
-        AssertionError: When it doesn't hold by then.
+        AssertionError: The condition doesn't hold in time.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while not condition():
         if loop.time() > end:
-            raise AssertionError(f"not within {seconds} s")
+            raise AssertionError(f"condition not met within {seconds} s")
         await asyncio.sleep(interval)
 
 
 def build_memberships(count, zones, regions, services):
-    """Return memberships that all know each other, quickly.
+    """Return memberships that each contain all members.
 
-    The first table is built member by member and copied for the others.
+    One table is built and copied for all of them, which is faster than gossip.
     """
     endpoints = [
         rounds.build_endpoint(number, zones, regions, services)
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of gossip among many memberships in one process, without sockets."""
+"""Synchronous gossip rounds among many memberships in one process."""
 
 import random
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 
 class Traffic(NamedTuple):
-    """What one round sent.
+    """Traffic of one round.
 
     Attributes:
-        exchanges: Messages that were answered.
+        exchanges: Number of answered messages.
         member_bytes: Estimated bytes of members in messages and answers.
-        crossings: Exchanges that left the zone.
+        crossings: Number of exchanges between different zones.
     """
 
     exchanges: int
@@ -21,7 +21,7 @@
 
 
 def build_endpoint(number, zones=1, regions=1, services=1):
-    """Return the endpoint of a numbered daemon, spread over zones and regions."""
+    """Return the endpoint of daemon `number`, spread over zones and regions."""
     zone = number % zones
     return messages.Endpoint(
         daemon=f"{random.Random(number).getrandbits(128):032x}",
@@ -34,7 +34,7 @@
 
 
 def build_mesh(count, zones=1, regions=1, services=1, settings=None):
-    """Return memberships by identifier that all know each other."""
+    """Return memberships by daemon identifier that each contain all members."""
     endpoints = [build_endpoint(i, zones, regions, services) for i in range(count)]
     mesh = {
         endpoint.daemon: membership.Membership(endpoint, random.Random(i), settings)
@@ -50,22 +50,22 @@
 
 
 def run_round(mesh, now, reaches=lambda sender, receiver: True):
-    """Let each membership plan and carry out one interval.
+    """Plan and carry out one gossip interval of each membership.
 
     Args:
-        mesh: Memberships by identifier; those missing don't answer.
+        mesh: Memberships by daemon identifier; daemons without one don't answer.
         now: Time in seconds.
-        reaches: Tells whether a message between two endpoints arrives; asked
-            once for the message and once for its answer.
+        reaches: Function that returns whether a message from one endpoint to another
+            arrives; called once for the message and once for its answer.
 
     Returns:
-        The `Traffic`.
+        The `Traffic` of the round.
     """
     sent = []
     for sender in tuple(mesh.values()):
         for instruction in sender.plan(now):
             if isinstance(instruction, membership.IndirectProbe):
-                _probe_via(mesh, sender, instruction, now, reaches)
+                _probe_indirectly(mesh, sender, instruction, now, reaches)
             else:
                 sent.append(_probe(mesh, sender, instruction, now, reaches))
     return Traffic(*map(sum, zip(*sent, strict=True))) if sent else Traffic(0, 0, 0)
@@ -93,10 +93,10 @@
     return Traffic(1, size, int(crosses))
 
 
-def _probe_via(mesh, sender, instruction, now, reaches):
+def _probe_indirectly(mesh, sender, instruction, now, reaches):
     target = mesh.get(instruction.daemon)
     own = sender.local_member.endpoint
-    words = []
+    reports = []
     for endpoint in instruction.helpers:
         helper = mesh.get(endpoint.daemon)
         if helper is None or not _reach_both(reaches, own, endpoint):
@@ -104,10 +104,10 @@
         answers = target is not None and _reach_both(
             reaches, endpoint, target.local_member.endpoint
         )
-        words.append(answers)
-    if any(words):
+        reports.append(answers)
+    if any(reports):
         sender.record_alive(instruction.daemon, now)
-    elif words:
+    elif reports:
         sender.record_confirmed_failure(instruction.daemon, now)
 
 
--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -1,4 +1,4 @@
-"""Sizes at which slopes are measured, and how a figure is taken."""
+"""Sizes for the scaling measurements, and functions to measure time and memory."""
 
 import gc
 import time
@@ -16,13 +16,13 @@
 
 
 class Row(NamedTuple):
-    """One measurement.
+    """Result of one measurement.
 
     Attributes:
-        what: What was measured.
-        size: At which size.
-        value: The figure.
-        unit: Its unit.
+        what: Measured quantity.
+        size: Size at which it was measured, as text.
+        value: Measured value.
+        unit: Unit of the value.
     """
 
     what: str
@@ -32,14 +32,14 @@
 
 
 def time_once(function):
-    """Return the seconds of processor time that one run takes."""
+    """Return the processor seconds of one run."""
     start = time.process_time()
     function()
     return time.process_time() - start
 
 
 def time_each(function, count=2_000):
-    """Return the microseconds of processor time of one run among many."""
+    """Return the mean processor microseconds of `count` runs."""
     start = time.process_time()
     for _ in range(count):
         function()
@@ -47,7 +47,7 @@
 
 
 def measure_memory(build):
-    """Return the bytes that what `build` returns takes up."""
+    """Return the bytes of memory that the result of `build` occupies."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -59,14 +59,11 @@
     return after - before
 
 
-# Members and gossip.
-
-
 def build_endpoint(number, count):
-    """Return an endpoint of a mesh of that many daemons."""
+    """Return endpoint `number` of a mesh of `count` daemons."""
     return rounds.build_endpoint(number, ZONES, REGIONS, count_services(count))
 
 
 def count_services(count):
-    """Return how many services a mesh of that many daemons has."""
+    """Return the number of services in a mesh of `count` daemons."""
     return max(1, count // ENDPOINTS_PER_SERVICE)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""How costs grow with size, measured in one process (``make slopes``).
+"""Measures how costs grow with the size of a mesh (``make slopes``).
 
-Each table has three sizes or more. Nothing here is a mesh of processes: many
-instances of the state run in one, on a clock that jumps, and the transport is
-measured by itself. `docs/CAPACITY.md` works the size of two years out of them.
+No mesh of processes is started: the states of many daemons run in one process on a
+virtual clock, and the transport is measured separately. `docs/CAPACITY.md` derives
+the capacity needed in two years from the results.
 """
 
 import argparse
@@ -27,13 +27,13 @@
 
 
 def main():
-    """Run the measurements that are asked for and print them as tables."""
+    """Run the selected measurements and print their tables."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument(
         "--only",
         choices=sorted(SLOPES),
         action="append",
-        help="measure only this; what ends in -large takes a quarter of an hour",
+        help="measure only this; those ending in -large take a quarter of an hour",
     )
     chosen = parser.parse_args().only or [n for n in SLOPES if n not in SLOW]
     for name in chosen:
--- a/bench/spreads.py
+++ b/bench/spreads.py
@@ -1,4 +1,4 @@
-"""Slopes of what many daemons do together: gossip, restarts, the log."""
+"""Scaling of what many daemons do together: gossip, restarts, log reads."""
 
 import asyncio
 import math
@@ -30,12 +30,12 @@
 
 LOSS = 0.01
 STEADY_SECONDS = 10.0
-LONGEST_SPREAD = 60.0
-LONGEST_RUN = 600
+MAX_SPREAD_SECONDS = 60.0
+MAX_ROUNDS = 600
 
 
 def measure_gossip():
-    """Measure an interval of gossip without news, and the spread of a change."""
+    """Measure idle gossip, and how a configuration change spreads."""
     for count in MEMBERS:
         size = f"{count:,} daemons"
         found = clocks.run_jumping(run_gossip(count))
@@ -49,7 +49,7 @@
 
 
 def measure_rumours(sizes=MEDIUM):
-    """Measure how long the death of a daemon and of a zone takes to be known."""
+    """Measure how fast the failure of a daemon and of a zone spreads."""
     for count in sizes:
         size = f"{count:,} daemons"
         mesh = build_mesh(count)
@@ -68,7 +68,7 @@
 
 
 def measure_cut():
-    """Measure how soon the others notice that one region of four is cut off."""
+    """Measure how fast other regions detect one unreachable region of four."""
     for count in (100, 400, 1_000):
         mesh = build_mesh(count)
         others = [
@@ -85,12 +85,12 @@
 
 
 def is_same_side(one, other):
-    """Tell whether no cut of region 0 lies between two endpoints."""
+    """Return whether two endpoints are both inside or both outside region 0."""
     return (one.region == "region-0") == (other.region == "region-0")
 
 
 def measure_restart(sizes=MEDIUM):
-    """Measure a zone that restarts at once: its joins, the log, the peers."""
+    """Measure a concurrent restart of a zone: joins, log requests, peer traffic."""
     for count in sizes:
         size = f"{count:,} daemons"
         found = clocks.run_jumping(run_restart(count))
@@ -102,7 +102,7 @@
 
 
 def measure_log():
-    """Count who reads and appends, from the policies themselves."""
+    """Compute the log readers and read rates that the policies cause."""
     for count in MEMBERS:
         size = f"{count:,} daemons"
         members = [membertable.Member(build_endpoint(i, count)) for i in range(count)]
@@ -116,27 +116,27 @@
 
 
 def find_readers(members):
-    """Return those of the members that read the configuration."""
+    """Return the members that read the configuration from the log."""
     zones = {}
     for member in members:
         zones.setdefault(member.endpoint.zone, []).append(member)
     return [
-        own
+        member_of_zone
         for of_zone in zones.values()
-        for own in of_zone
-        if readers.is_reader(of_zone, own, streams.CONFIGURATION, 0.0)
+        for member_of_zone in of_zone
+        if readers.is_reader(of_zone, member_of_zone, streams.CONFIGURATION, 0.0)
     ]
 
 
 class Spread(NamedTuple):
-    """What a run of gossip showed.
+    """Results of a gossip run.
 
     Attributes:
-        bytes: Bytes a second, sent and received, of a daemon without news.
-        rate: Exchanges a second that a daemon takes part in.
-        cpu: Microseconds a second of processor time of a daemon, without gRPC.
-        times: Seconds after which each daemon knew the change, sorted.
-        change: Bytes of a daemon, beyond the usual, while the change spread.
+        bytes: Bytes per second that an idle daemon sends and receives.
+        rate: Exchanges per second in which an idle daemon takes part.
+        cpu: Processor microseconds per second of an idle daemon, without gRPC.
+        times: Seconds until each daemon received the change, sorted.
+        change: Bytes per daemon, in addition to idle traffic, to spread the change.
     """
 
     bytes: float
@@ -146,12 +146,12 @@
     change: float
 
     def find_time(self, share):
-        """Return the seconds after which a share of the daemons knew."""
+        """Return the seconds until a share of the daemons had received the change."""
         return self.times[max(0, int(share * len(self.times)) - 1)]
 
 
 def build_relay():
-    """Return a relay over a real configuration, as a daemon has it."""
+    """Return a relay with a real configuration, as in a daemon."""
     state = configuration.Configuration()
     kept = relay.RecordStore(lambda data: None)
 
@@ -164,7 +164,7 @@
 
 
 def build_network(count):
-    """Return a network of daemons that all know each other."""
+    """Return a network of daemons that each know all members."""
     source = random.Random(1)
     mesh = network.Network(lambda sender, receiver: source.random() >= LOSS)
     for members in network.build_memberships(
@@ -175,7 +175,7 @@
 
 
 async def run_gossip(count):
-    """Run daemons without news, then let the readers of the log see a change."""
+    """Run idle daemons, then spread a change from the readers of the log."""
     mesh = build_network(count)
     found = []
 
@@ -194,7 +194,7 @@
 
 
 async def observe(mesh, seconds):
-    """Return bytes, exchanges and microseconds of a daemon in a second."""
+    """Return bytes, exchanges and processor microseconds per daemon and second."""
     sent, exchanges, start = mesh.sent, mesh.exchanges, time.process_time()
     await asyncio.sleep(seconds)
     share = seconds * len(mesh.daemons)
@@ -206,7 +206,11 @@
 
 
 async def spread_change(mesh):
-    """Give a record to the readers; return when each daemon knew it, sorted."""
+    """Pass a record to the readers.
+
+    Returns:
+        Sorted seconds until each daemon received it, infinite if it didn't in time.
+    """
     loop = asyncio.get_running_loop()
     record = client.Record(0, 0.0, build_change(1))
     members = [daemon.members.local_member for daemon in mesh.daemons.values()]
@@ -217,7 +221,7 @@
     start = loop.time()
     waiting = list(mesh.daemons.values())
     times = []
-    while waiting and loop.time() - start < LONGEST_SPREAD:
+    while waiting and loop.time() - start < MAX_SPREAD_SECONDS:
         await asyncio.sleep(0.02)
         left = [daemon for daemon in waiting if daemon.relay.offset == 0]
         times.extend([loop.time() - start] * (len(waiting) - len(left)))
@@ -226,22 +230,22 @@
 
 
 def build_mesh(count):
-    """Return memberships by identifier that all know each other."""
+    """Return memberships by daemon identifier that each contain all members."""
     found = network.build_memberships(count, ZONES, REGIONS, count_services(count))
     return {members.local_member.endpoint.daemon: members for members in found}
 
 
 def run_until_gone(mesh, victims, start):
-    """Run rounds until 99 % of the news have arrived at a sample of the daemons.
+    """Run rounds until sampled daemons have recorded 99 % of the victims as gone.
 
     Returns:
-        Seconds that it took, and bytes of members a second for each daemon.
+        Elapsed seconds, and bytes of members per second and daemon.
     """
     source = random.Random(1)
     sampled = source.sample(list(mesh.values()), min(len(mesh), SAMPLE))
     wanted = set(source.sample(sorted(victims), min(len(victims), SAMPLE)))
     sent = 0
-    for now in range(1, LONGEST_RUN):
+    for now in range(1, MAX_ROUNDS):
         traffic = rounds.run_round(
             mesh, start + now, lambda a, b: source.random() >= LOSS
         )
@@ -253,23 +257,20 @@
 
 
 def count_present(members, daemons):
-    """Count the daemons that a membership doesn't know to be gone."""
+    """Count the daemons that a membership contains and doesn't record as gone."""
     known = (members.get(daemon) for daemon in daemons)
     return sum(m is not None and m.state is not membertable.State.GONE for m in known)
 
 
-# A zone that restarts.
-
-
 class Restart(NamedTuple):
-    """What the restart of a zone showed.
+    """Results of the restart of a zone.
 
     Attributes:
-        restarted: How many daemons restarted.
-        whole: Seconds until all of them knew all members.
-        appends: Appends to the log in the busiest second.
-        reads: Reads of the log in the busiest second.
-        given: Bytes that a living daemon gave to newcomers and others.
+        restarted: Number of daemons that restarted.
+        whole: Seconds until each of them had at least 99 % of the members.
+        appends: Maximum number of log appends in one second.
+        reads: Maximum number of log reads in one second.
+        given: Mean bytes of gossip per daemon until then.
     """
 
     restarted: int
@@ -280,7 +281,7 @@
 
 
 class CountingLog:
-    """The stream of members in memory; counts by the second."""
+    """In-memory stream of members that counts reads and appends per second."""
 
     def __init__(self, records):
         self.records = records
@@ -288,27 +289,27 @@
         self.appends = {}
 
     async def read(self, offset, limit, wait):
-        """Read as the log does."""
+        """Return a page of records, with the delay between two zones."""
         count_now(self.reads)
         await asyncio.sleep(network.DELAYS[1])
         page = self.records[offset : offset + limit]
         return client.Page(tuple(page), 0, len(self.records))
 
     async def append(self, data):
-        """Append as the log does."""
+        """Append a record."""
         count_now(self.appends)
         now = asyncio.get_running_loop().time()
         self.records.append(client.Record(len(self.records), now, data))
 
 
 def count_now(counts):
-    """Count one more for the present second."""
+    """Increment the count of the current second."""
     second = int(asyncio.get_running_loop().time())
     counts[second] = counts.get(second, 0) + 1
 
 
 async def run_restart(count):
-    """Restart the daemons of one zone at once, with new identifiers."""
+    """Restart all daemons of one zone concurrently, with new identifiers."""
     mesh = build_network(count)
     addresses = [
         address
--- a/bench/states.py
+++ b/bench/states.py
@@ -1,4 +1,4 @@
-"""Slopes of what one daemon holds and does by itself: members, claims, calls."""
+"""Scaling of the state and work of one daemon: members, claims, calls."""
 
 import random
 import subprocess
@@ -31,12 +31,12 @@
     time_once,
 )
 
-# Bytes of TCP and IP headers of one packet.
-PACKET_HEADERS = 52
+# Bytes of the TCP and IP headers of one packet.
+PACKET_HEADER_BYTES = 52
 
 
 def measure_members():
-    """Measure what a member costs and what is done for each."""
+    """Measure the size of a member and the cost of operations on the member list."""
     for count in MEMBERS:
         packed = [
             gossip.pack_member(membertable.Member(build_endpoint(i, count)))
@@ -47,9 +47,11 @@
         yield Row("member list on the wire", size, len(data) / count, "B/member")
         fresh = membership.Membership(build_endpoint(0, count), random.Random(1))
         seconds = time_once(lambda data=data, fresh=fresh: receive_all(fresh, data))
-        yield Row("take the list in", size, seconds / count * 1e6, "us/member")
-        held = measure_memory(lambda count=count, data=data: build_one(count, data))
-        yield Row("member list in memory", size, held / count, "B/member")
+        yield Row("apply the list", size, seconds / count * 1e6, "us/member")
+        memory = measure_memory(
+            lambda count=count, data=data: build_membership(count, data)
+        )
+        yield Row("member list in memory", size, memory / count, "B/member")
         service = fresh.local_member.endpoint.service
         yield Row(
             "find the endpoints of a service",
@@ -72,7 +74,7 @@
 
 
 def measure_wires():
-    """Measure gRPC beside the messages."""
+    """Measure the transport overhead of a gossip exchange."""
     for size in (100, 1_000, 10_000):
         found = wire.measure_wire(size)
         label = f"{size:,} B each way"
@@ -82,7 +84,7 @@
 
 
 def measure_claims():
-    """Measure claims in batches of several sizes."""
+    """Measure claims in batches of several sizes, and the memory of a key."""
     for batch in (1, 10, 100, 500):
         entries = [build_claim(number) for number in range(batch)]
         data = claims.encode_batch(entries)
@@ -91,28 +93,30 @@
         count = max(1, 2_000 // batch)
         seconds = time_each(lambda e=entries: claims.encode_batch(e), count)
         yield Row("encode", size, seconds / batch, "us/claim")
-        yield Row("read and fold", size, fold_claims(batch, count) / batch, "us/claim")
+        yield Row(
+            "decode and apply", size, time_claims(batch, count) / batch, "us/claim"
+        )
     for count in (1_000, 5_000, claims.MAX_KEYS):
-        held = measure_memory(lambda count=count: hold_claims(count))
-        yield Row("key remembered", f"{count:,} keys", held / count, "B/key")
+        memory = measure_memory(lambda count=count: build_claims(count))
+        yield Row("key in memory", f"{count:,} keys", memory / count, "B/key")
 
 
 def measure_configuration():
-    """Measure changes and resources of the configuration."""
+    """Measure the size and processing of configuration changes and resources."""
     for count in (100, 890, 3_000):
         size = f"{count:,} resources"
         records = [build_change(number) for number in range(count)]
         wide = sum(map(len, records)) / count
         yield Row("change in the log", size, wide, "B/change")
-        held = measure_memory(lambda records=records: apply_changes(records))
-        yield Row("resource in memory", size, held / count, "B/resource")
+        memory = measure_memory(lambda records=records: apply_changes(records))
+        yield Row("resource in memory", size, memory / count, "B/resource")
         state = apply_changes(records)
         seconds = time_once(lambda records=records: apply_changes(records))
         yield Row("decide on a change", size, seconds / count * 1e6, "us/change")
         view = build_store(records)
         extra = build_change(count)
         yield Row(
-            "put a change in force on a daemon",
+            "apply a change on a daemon",
             size,
             time_once(lambda v=view, n=count, e=extra: v.apply_record(n, 1e9, e)) * 1e6,
             "us/change",
@@ -123,11 +127,11 @@
         yield Row("write a snapshot", size, seconds / count * 1e6, "us/resource")
         fresh = configuration.Configuration()
         seconds = time_once(lambda f=fresh, s=snapshot: f.install(s))
-        yield Row("take a snapshot in", size, seconds / count * 1e6, "us/resource")
+        yield Row("install a snapshot", size, seconds / count * 1e6, "us/resource")
 
 
 def measure_calls():
-    """Measure the decisions on the path of a call."""
+    """Measure the decisions that each call needs: placement and admission."""
     for count in (4, 16, 64):
         endpoints = tuple(rounds.build_endpoint(i, ZONES) for i in range(count))
         choice = build_placement(endpoints)
@@ -147,7 +151,7 @@
 
 
 def measure_imports():
-    """Measure what a process holds before it has any state."""
+    """Measure the resident memory of a process after importing modules."""
     for what, modules in IMPORTS.items():
         program = f"{modules}\n{PRINT_RESIDENT}"
         found = subprocess.run(
@@ -171,40 +175,37 @@
 }
 
 
-def build_one(count, data):
-    """Return a membership that knows a packed list."""
+def build_membership(count, data):
+    """Return a membership that contains a serialized member list."""
     fresh = membership.Membership(build_endpoint(0, count), random.Random(1))
     receive_all(fresh, data)
     return fresh
 
 
 def receive_all(members, data):
-    """Take in a packed list of all members."""
+    """Apply a serialized list of all members."""
     answer = peer_pb2.GossipAnswer.FromString(data)
     found = gossip.unpack_members(answer.members)
     members.apply_page(membership.MemberPage(found, membertable.BUCKETS), 0.0)
 
 
 def is_reader(members):
-    """Decide as a daemon does whether it reads the configuration."""
+    """Return whether the policy of daemons makes this one read the configuration."""
     return readers.is_reader(
         members.members(), members.local_member, streams.CONFIGURATION, 0.0
     )
 
 
-# Claims, configuration, calls.
-
-
 def build_claim(number):
-    """Return a claim like those of a gatekeeper."""
+    """Return a claim like one from a gatekeeper."""
     source = random.Random(number)
     key = claims.make_key(1e9 + number / 1e3, source.getrandbits(74))
     attempt = uuid.UUID(int=source.getrandbits(128)).hex
     return claims.Claim(key, attempt, "f" * 32)
 
 
-def fold_claims(batch, count):
-    """Return the microseconds to fold in a batch of new claims."""
+def time_claims(batch, count):
+    """Return the microseconds to apply a batch of new claims."""
     state = claims.Claims()
     records = [
         claims.encode_batch(
@@ -218,8 +219,8 @@
     return (time.process_time() - start) / count * 1e6
 
 
-def hold_claims(count):
-    """Return claims that remember so many keys."""
+def build_claims(count):
+    """Return claims that contain `count` keys."""
     state = claims.Claims()
     for offset in range(count // 100):
         entries = [build_claim(offset * 100 + number) for number in range(100)]
@@ -228,7 +229,7 @@
 
 
 def build_change(number):
-    """Return the record of a change that creates a service."""
+    """Return the encoded change that creates service `number`."""
     body = {
         "retry_budget": 3,
         "importance": "normal",
@@ -258,7 +259,7 @@
 
 
 def apply_changes(records):
-    """Return the configuration after the records."""
+    """Return the configuration after applying the records."""
     state = configuration.Configuration()
     for offset, data in enumerate(records):
         state.apply(offset, 1e9 + offset, data)
@@ -266,7 +267,7 @@
 
 
 def build_store(records):
-    """Return a daemon's store after the records."""
+    """Return a daemon's configuration store after applying the records."""
     found = store.Store(
         configuration.Configuration(),
         lambda stream, data: None,
@@ -279,7 +280,7 @@
 
 
 def build_request(number):
-    """Return a request for the first service."""
+    """Return a request `number` for the first service."""
     return messages.Request(
         attempt=str(number),
         root=f"{number:032x}",
@@ -294,7 +295,7 @@
 
 
 def build_placement(endpoints):
-    """Return a placement that has seen answers of all endpoints."""
+    """Return a placement that has observed answers of all endpoints."""
     choice = placement.Placement("zone-0", random.Random(1))
     answer = messages.Answer("0", messages.Outcome.COMPLETED)
     for endpoint in endpoints * 10:
@@ -304,7 +305,7 @@
 
 
 def time_gate(count):
-    """Return the microseconds to admit and finish a call with others in service."""
+    """Return the microseconds to admit and finish a call with `count` in service."""
     state = gate.Gate(2 * count)
     for number in range(count):
         state.offer(build_request(number), number * 1e-4)
--- a/bench/wire.py
+++ b/bench/wire.py
@@ -1,4 +1,4 @@
-"""Bytes and processor time of one gossip exchange over a real connection."""
+"""Measures the bytes and processor time of gossip exchanges over TCP."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 class Counter:
-    """Forwards TCP connections to a port and counts the bytes both ways."""
+    """Proxy that forwards TCP connections to a port and counts the bytes."""
 
     def __init__(self, port):
         self.bytes = 0
@@ -21,19 +21,19 @@
         self._pumps = set()
 
     async def listen(self):
-        """Take connections; return the port."""
+        """Start to accept connections; return the port."""
         self._listener = await asyncio.start_server(self._accept, LOCAL, 0)
         return self._listener.sockets[0].getsockname()[1]
 
     def close(self):
-        """Take no more connections, and end those there are."""
+        """Stop accepting connections and close the open ones."""
         self._listener.close()
         for pump in self._pumps:
             pump.cancel()
 
     async def _accept(self, reader, writer):
-        far_reader, far_writer = await asyncio.open_connection(LOCAL, self._port)
-        for ends in ((reader, far_writer), (far_reader, writer)):
+        remote_reader, remote_writer = await asyncio.open_connection(LOCAL, self._port)
+        for ends in ((reader, remote_writer), (remote_reader, writer)):
             pump = asyncio.create_task(self._pump(*ends))
             self._pumps.add(pump)
 
@@ -45,12 +45,12 @@
 
 
 class Wire(NamedTuple):
-    """What exchanges cost beside their messages.
+    """Costs of gossip exchanges. Bytes count both directions without TCP/IP headers.
 
     Attributes:
-        first_bytes: Bytes of a new connection with its first exchange.
-        bytes: Bytes of each further exchange, both ways, without TCP/IP headers.
-        microseconds: Processor time of an exchange, asker and answerer together.
+        first_bytes: Bytes of a new connection and its first exchange.
+        bytes: Bytes of each further exchange, messages included.
+        microseconds: Processor time of an exchange, client and server together.
     """
 
     first_bytes: float
@@ -59,7 +59,7 @@
 
 
 def measure_wire(message_bytes):
-    """Measure exchanges whose message and answer have about so many bytes."""
+    """Measure exchanges whose message and answer have `message_bytes` each."""
     return asyncio.run(_measure(b"x" * message_bytes))
 
 
