--- a/emulator/backend.py
+++ b/emulator/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server on the platform, and its faults on command."""
+"""A backend server of the emulated platform, with faults that tests can inject."""
 
 import asyncio
 import json
@@ -16,18 +16,18 @@
 
 from . import caller
 
-HEARTBEAT_SECONDS = 1.5
-HEARTBEAT_TIMEOUT = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.5
+HEARTBEAT_TIMEOUT_SECONDS = 1.0
 
 
 class Call(NamedTuple):
-    """A call that a backend server makes.
+    """A call that a backend server makes while it processes a request.
 
     Attributes:
-        host: Host that it names.
-        path: Path.
-        seconds: Longest time that it is given; it expires with the request that
-            makes it at the latest.
+        host: Value of the Host header.
+        path: Request path.
+        seconds: Timeout in seconds; the call expires with the request that makes
+            it at the latest.
     """
 
     host: str
@@ -39,10 +39,10 @@
     """What a backend server does for a request of one path prefix.
 
     Attributes:
-        seconds: Mean time that it works.
-        calls: `Call` tuples, made one after the other.
-        size: Bytes of the answer.
-        spread: Share of the mean by which the time varies.
+        seconds: Mean processing time in seconds, without the calls.
+        calls: `Call` tuples, made sequentially.
+        size: Minimum size of the response body in bytes.
+        spread: Fraction of the mean by which the processing time varies.
     """
 
     seconds: float
@@ -52,13 +52,13 @@
 
 
 class Faults(NamedTuple):
-    """What it does wrong until told otherwise.
+    """Faults of a backend server, in effect until they are replaced.
 
     Attributes:
-        shed: Share of requests that it turns down though it has room.
-        fail: Share of requests that end with 500.
-        lose: Share of requests that are run and not answered.
-        slower: Factor on the time that it works.
+        shed: Share of requests that it refuses although it has a free slot.
+        fail: Share of requests that it runs and answers with 500.
+        lose: Share of requests that it runs without sending a response.
+        slower: Factor on the processing time.
     """
 
     shed: float = 0.0
@@ -68,7 +68,7 @@
 
 
 class Run(NamedTuple):
-    """One request that was begun: its id, method, target, body and caller."""
+    """A request that started to run, with the service that called."""
 
     request: str
     method: str
@@ -78,26 +78,26 @@
 
 
 class Backend:
-    """One backend server.
+    """One backend server, which serves HTTP and sends heartbeats to its daemon.
 
     Args:
-        identity: Its identifier.
-        service: Its service.
-        slots: Requests that it works on at once.
-        works: `Work` by path prefix.
-        seed: Seed of what it draws.
+        identity: Identifier of the backend server.
+        service: Name of its service.
+        slots: Maximum number of concurrent requests.
+        work_by_prefix: `Work` by path prefix.
+        seed: Seed of the random choices.
     """
 
-    def __init__(self, identity, service, slots, works, seed=0):
+    def __init__(self, identity, service, slots, work_by_prefix, seed=0):
         self.identity = identity
         self.service = service
         self.slots = slots
-        self.works = works
+        self.work_by_prefix = work_by_prefix
         self.faults = Faults()
         self.state = "ready"
         self.runs = []
-        self.ends = []
-        # The request that made each call, by their ids.
+        self.finished = []
+        # Identifier of the request that made each call, by identifier of the call.
         self.parents = {}
         self.busy = 0
         self.waiting = 0
@@ -112,15 +112,15 @@
         self.server = Server(self._answer, Limits())
 
     async def listen(self, host="127.0.0.1", port=0):
-        """Serve; return the port."""
+        """Start serving and return the port."""
         port = await self.server.listen(host, port)
         self.address = f"{host}:{port}"
         return port
 
     async def announce(self):
-        """Send one heartbeat; return the status of its answer."""
+        """Send one heartbeat and return the HTTP status, 0 without a response."""
         self._sequence += 1
-        beat = {
+        heartbeat = {
             "service": self.service,
             "address": self.address,
             "zone": "z",
@@ -131,18 +131,18 @@
             "seq": self._sequence,
             "born": self.born,
         }
-        return await self.tell("PUT", json.dumps(beat).encode())
+        return await self.send_report("PUT", json.dumps(heartbeat).encode())
 
     async def leave(self):
-        """Say that it is gone; return the status of the answer."""
-        return await self.tell("DELETE", b"")
+        """Report that the server has left; return the status, 0 without a response."""
+        return await self.send_report("DELETE", b"")
 
-    async def tell(self, method, body):
-        """Send a message to the daemon; return its status, 0 for none."""
+    async def send_report(self, method, body):
+        """Send a report to the daemon; return the status, 0 without a response."""
         target = f"/whinwinch/instances/{self.identity}"
         request = HttpRequest(method, target, body=body)
         pool = self._pools.find(self._control)
-        until = asyncio.get_running_loop().time() + HEARTBEAT_TIMEOUT
+        until = asyncio.get_running_loop().time() + HEARTBEAT_TIMEOUT_SECONDS
         try:
             answer = await pool.exchange(format_request(request, self._control), until)
         except (client.NotSentError, client.BrokenError, TimeoutError):
@@ -150,18 +150,18 @@
         return answer.status
 
     async def keep_announcing(self):
-        """Send heartbeats for ever."""
+        """Send heartbeats until the task is cancelled."""
         while True:
             await self.announce()
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
     def attach(self, outbound, control):
-        """Take the addresses of the daemon: for calls, and for heartbeats."""
+        """Set the daemon's addresses for calls (outbound) and heartbeats (control)."""
         self._outbound = outbound
         self._control = control
 
     def close(self):
-        """Drop all connections."""
+        """Close all connections."""
         self.server.abort()
         self._pools.close()
 
@@ -176,9 +176,9 @@
                 421, "Misdirected Request", (("X-Instance-Id", self.identity),)
             )
         if not request:
-            return self._turn_down(request, 400)
+            return self._refuse(request, 400)
         if self._draw(self.faults.shed) or self.waiting > 2 * self.slots:
-            return self._turn_down(request, 503)
+            return self._refuse(request, 503)
         deadline = float(find_header(http.headers, "x-deadline-ms") or 1e6) / 1000
         deadline += asyncio.get_running_loop().time()
         self.waiting += 1
@@ -194,8 +194,10 @@
             self._free.release()
 
     async def _run(self, http, request, deadline):
-        calling = find_header(http.headers, "x-caller-service")
-        self.runs.append(Run(request, http.method, http.target, http.body, calling))
+        calling_service = find_header(http.headers, "x-caller-service")
+        self.runs.append(
+            Run(request, http.method, http.target, http.body, calling_service)
+        )
         work = self._find_work(http.target)
         seconds = work.seconds * self.faults.slower
         spread = self._random.uniform(1 - work.spread, 1 + work.spread)
@@ -203,7 +205,7 @@
         for call in work.calls:
             if not await self._call(call, request, deadline):
                 return self._seal(request, 500, "Call Failed", b"")
-        self.ends.append(request)
+        self.finished.append(request)
         if self._draw(self.faults.lose):
             self._drop_connection()
         if self._draw(self.faults.fail):
@@ -228,19 +230,19 @@
         return answer.status == 200
 
     def _drop_connection(self):
-        """Reset the connection of the request that is answered just now."""
+        """Reset the connection of the request that the current task serves."""
         task = asyncio.current_task()
         for connection in tuple(self.server.connections):
             if connection.serves(task):
                 connection.abort()
 
     def _find_work(self, target):
-        for prefix, work in self.works.items():
+        for prefix, work in self.work_by_prefix.items():
             if target.startswith(prefix):
                 return work
         raise KeyError(target)
 
-    def _turn_down(self, request, status):
+    def _refuse(self, request, status):
         headers = (("X-Not-Executed", "1"), ("X-Request-Id", request))
         return HttpResponse(status, "Turned Down", headers)
 
--- a/emulator/caller.py
+++ b/emulator/caller.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's callers."""
+"""A caller of the emulated platform, which repeats requests as its callers do."""
 
 import asyncio
 import itertools
@@ -8,10 +8,10 @@
 from whinwinch.http1 import client
 from whinwinch.http1.messages import HttpRequest, find_header, format_request
 
-# Statuses that promise that a request has not run and never will.
-PROMISES = frozenset({408, 421, 429, 503})
-# After these no caller asks again: the request itself is wrong, or was served.
-FINAL = frozenset({200, 400, 401, 404, 413, 431})
+# Statuses that guarantee that a request was not run and never will be.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+# Statuses that are never retried: the request is invalid or was served.
+FINAL_STATUSES = frozenset({200, 400, 401, 404, 413, 431})
 _NUMBERS = itertools.count(1)
 
 
@@ -19,16 +19,18 @@
     """One kind of request.
 
     Attributes:
-        host: Host that it names.
-        path: Path.
-        method: Method.
-        deadline: Seconds that the caller waits.
-        objective: Seconds within which an answer is worth all.
-        worth: What it is worth.
-        body: Body.
-        retries: Times that the caller asks again.
-        patient: Whether it waits as it is told to.
-        gives_up: Seconds after which it closes its connection, whatever it said.
+        host: Value of the Host header.
+        path: Request path.
+        method: HTTP method.
+        deadline: Deadline of the request over all attempts, in seconds.
+        objective: Target latency in seconds; later answers lose worth.
+        worth: Worth of an answer within the objective.
+        body: Request body.
+        retries: Maximum number of retries.
+        honors_retry_after: Whether the caller waits for Retry-After before it
+            retries.
+        disconnect_after: Seconds after which the caller closes its connection,
+            even before the deadline.
     """
 
     host: str
@@ -39,19 +41,19 @@
     worth: float = 1.0
     body: bytes = b""
     retries: int = 1
-    patient: bool = True
-    gives_up: float = math.inf
+    honors_retry_after: bool = True
+    disconnect_after: float = math.inf
 
 
-class Told(NamedTuple):
-    """What a caller was told in the end.
+class CallerResult(NamedTuple):
+    """Result of a request over all attempts of its caller.
 
     Attributes:
-        requests: Identifiers of the times it asked, in their order.
-        statuses: Status of each; 0 for no whole answer.
-        seconds: Time from the first asking to the last answer.
-        whole: Whether the last answer is a success and whole.
-        retry_after: What the last answer said of coming back, in seconds.
+        requests: Request identifiers of the attempts, in order.
+        statuses: HTTP status of each attempt; 0 without a complete response.
+        seconds: Time from the start of the first attempt to the end of the last.
+        whole: Whether the last response is a success and complete.
+        retry_after: Retry-After of the last response in seconds, 0 without one.
     """
 
     requests: tuple[str, ...]
@@ -62,13 +64,13 @@
 
 
 class Pools:
-    """Kept connections of callers that don't open one for each request."""
+    """Connection pools by address, for callers that reuse connections."""
 
     def __init__(self):
         self._pools = {}
 
     def find(self, address):
-        """Return the `client.Pool` of an address."""
+        """Return the `client.Pool` of an address, created at its first use."""
         if address not in self._pools:
             self._pools[address] = _build_pool(address)
         return self._pools[address]
@@ -79,37 +81,43 @@
             pool.close()
 
 
-async def ask(address, kind, pools=None):
-    """Ask a daemon, and again as the platform's callers do; return what was told.
+async def send_with_retries(address, kind, pools=None):
+    """Send a request to a daemon, with retries, and return the `CallerResult`.
+
+    A request other than GET is only retried after a status that guarantees that it
+    was not run.
 
     Args:
         address: "IP:PORT" of the daemon.
-        kind: `Kind`.
-        pools: `Pools` to take connections from; without, each asking has its own.
+        kind: `Kind` of the request.
+        pools: `Pools` of connections to reuse; without them, each attempt opens a
+            connection.
     """
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    until = began + kind.deadline
+    start_time = loop.time()
+    until = start_time + kind.deadline
     requests, statuses = [], []
     while True:
-        request, status, answer = await ask_once(address, kind, until, pools)
+        request, status, answer = await send_once(address, kind, until, pools)
         requests.append(request)
         statuses.append(status)
         whole = status == 200 and answer.body.startswith(request.encode())
         pause = float(find_header(answer.headers, "retry-after") or 0) if answer else 0
-        told = Told(tuple(requests), tuple(statuses), loop.time() - began, whole, pause)
-        if status in FINAL or len(requests) > kind.retries:
-            return told
-        if kind.method != "GET" and status not in PROMISES:
-            return told
+        result = CallerResult(
+            tuple(requests), tuple(statuses), loop.time() - start_time, whole, pause
+        )
+        if status in FINAL_STATUSES or len(requests) > kind.retries:
+            return result
+        if kind.method != "GET" and status not in NOT_RUN_STATUSES:
+            return result
         left = until - loop.time()
         if left <= 0.02:
-            return told
-        await asyncio.sleep(min(pause, left / 3) if kind.patient else 0.0)
+            return result
+        await asyncio.sleep(min(pause, left / 3) if kind.honors_retry_after else 0.0)
 
 
-async def ask_once(address, kind, until, pools=None):
-    """Ask once; return id, status and answer."""
+async def send_once(address, kind, until, pools=None):
+    """Send one attempt; return its request identifier, status and response."""
     loop = asyncio.get_running_loop()
     request = f"ask-{next(_NUMBERS):x}"
     left = until - loop.time()
@@ -120,9 +128,11 @@
     )
     http = HttpRequest(kind.method, kind.path, headers, kind.body)
     pool = pools.find(address) if pools else _build_pool(address)
-    patience = None if math.isinf(kind.gives_up) else kind.gives_up
+    disconnect_after = (
+        None if math.isinf(kind.disconnect_after) else kind.disconnect_after
+    )
     try:
-        async with asyncio.timeout(patience):
+        async with asyncio.timeout(disconnect_after):
             answer = await pool.exchange(format_request(http, kind.host), until)
     except (client.NotSentError, client.BrokenError, TimeoutError):
         return request, 0, None
--- a/emulator/generated.py
+++ b/emulator/generated.py
@@ -1,4 +1,4 @@
-"""Plays meshes that are drawn from seeds, and checks what must always hold of each."""
+"""Runs randomized scenarios and checks the guarantees on each of them."""
 
 import argparse
 import asyncio
@@ -6,128 +6,145 @@
 import sys
 from typing import NamedTuple
 
-from . import caller, draws, load, logs, mesh, promises, troubles
+from . import caller, disruptions, guarantees, load, logs, mesh, scenarios
 
-# Seconds that what was in flight at the end gets to come to its end.
+# Time for requests in flight at the end of a scenario to finish.
 SETTLE_SECONDS = 1.0
-# Seconds after the last trouble in which all requests have to be served again. A
-# backend server that was set aside is tried again within them.
+# Time after the last disruption within which every kind of request must be served
+# again. An endpoint that was set aside is tried again within it.
 RECOVERY_SECONDS = 15.0
-# Callers of the last look wait longer: it tells who is served, not how fast.
-PATIENT_SECONDS = 8.0
-# Of them ask at once; more would be a surge of their own.
-CALLERS = 4
-# Entries at which they ask.
-MOST_ENTRIES = 8
+# Deadline of the requests of the recovery check, which is about being served and not
+# about latency.
+RECOVERY_DEADLINE_SECONDS = 8.0
+# Concurrent requests of the recovery check; more would be a burst of load.
+MAX_CONCURRENT_CALLERS = 4
+# Entry daemons that the recovery check samples.
+MAX_CHECKED_ENTRIES = 8
 
 
 class Verdict(NamedTuple):
-    """What came of a play.
+    """Result of a scenario.
 
     Attributes:
-        play: The `draws.Play`.
-        broken: `promises.Broken` tuples.
-        whole: Share of all requests answered whole.
-        recovered: Whether each kind was served again, at several entries.
+        scenario: The `scenarios.Scenario`.
+        violations: `guarantees.Violation` tuples.
+        whole: Share of the requests of the load that got a complete answer.
+        recovered: Whether the sampled entry daemons served every kind of request
+            again after the last disruption.
     """
 
-    play: draws.Play
-    broken: tuple[promises.Broken, ...]
+    scenario: scenarios.Scenario
+    violations: tuple[guarantees.Violation, ...]
     whole: float
     recovered: bool
 
 
-async def play(drawn):
-    """Play a `draws.Play` and return its `Verdict`."""
-    async with mesh.Mesh(drawn.services, drawn.configuration, drawn.zones) as running:
-        draw = random.Random(drawn.seed)
-        scene = troubles.Scene(running, drawn.configuration, draw)
+async def run_scenario(scenario):
+    """Run a `scenarios.Scenario` and return its `Verdict`."""
+    async with mesh.Mesh(
+        scenario.services, scenario.configuration, scenario.zones
+    ) as running:
+        draw = random.Random(scenario.seed)
+        context = disruptions.DisruptionContext(running, scenario.configuration, draw)
         entries = [member.callers for member in running.members]
         async with asyncio.TaskGroup() as group:
-            for moment in drawn.troubles:
-                group.create_task(_befall(scene, moment))
-            playing = group.create_task(
-                load.play(entries, drawn.flows, drawn.phases, drawn.seed)
+            for scheduled in scenario.disruptions:
+                group.create_task(_disrupt(context, scheduled))
+            load_task = group.create_task(
+                load.run_load(entries, scenario.flows, scenario.phases, scenario.seed)
             )
-        told = [result.told for result in playing.result()]
-        served = sum(each.whole for each in told) / max(1, len(told))
-        looked_at = draw.sample(entries, min(MOST_ENTRIES, len(entries)))
-        recovered = await _wait_for_service(drawn, looked_at, told)
+        results = [result.caller_result for result in load_task.result()]
+        served = sum(each.whole for each in results) / max(1, len(results))
+        checked_entries = draw.sample(entries, min(MAX_CHECKED_ENTRIES, len(entries)))
+        recovered = await _wait_for_recovery(scenario, checked_entries, results)
         await asyncio.sleep(SETTLE_SECONDS)
-        seen = promises.Seen(
-            tuple(told),
+        observations = guarantees.Observations(
+            tuple(results),
             tuple(member.backend for member in running.members),
-            tuple(scene.left),
+            tuple(context.left),
             running.members[0].settings.repeats,
         )
-        broken = promises.find_broken(seen)
-    return Verdict(drawn, tuple(broken), served, recovered)
+        violations = guarantees.find_violations(observations)
+    return Verdict(scenario, tuple(violations), served, recovered)
 
 
-async def _befall(scene, moment):
-    await asyncio.sleep(moment.at)
-    await troubles.TROUBLES[moment.trouble](scene)
+async def _disrupt(context, scheduled):
+    await asyncio.sleep(scheduled.at)
+    await disruptions.DISRUPTIONS[scheduled.disruption](context)
 
 
-async def _wait_for_service(drawn, entries, told):
-    """Return whether each kind is served again in time at some entries."""
+async def _wait_for_recovery(scenario, entries, results):
+    """Return whether each kind of request is served again at the entry daemons.
+
+    Adds the results of its requests to `results`.
+    """
     missing = [
-        (entry, flow.kind._replace(deadline=PATIENT_SECONDS))
+        (entry, flow.kind._replace(deadline=RECOVERY_DEADLINE_SECONDS))
         for entry in entries
-        for flow in drawn.flows
+        for flow in scenario.flows
     ]
     loop = asyncio.get_running_loop()
     until = loop.time() + RECOVERY_SECONDS
     while missing and loop.time() < until:
         missing = [
-            wanted
-            for start in range(0, len(missing), CALLERS)
-            for wanted in await _ask_part(missing[start : start + CALLERS], told)
+            pair
+            for start in range(0, len(missing), MAX_CONCURRENT_CALLERS)
+            for pair in await _send_batch(
+                missing[start : start + MAX_CONCURRENT_CALLERS], results
+            )
         ]
     return not missing
 
 
-async def _ask_part(part, told):
-    """Return those pairs of entry and kind that weren't served."""
-    answers = await asyncio.gather(*(caller.ask(entry, kind) for entry, kind in part))
-    told.extend(answers)
+async def _send_batch(part, results):
+    """Return the pairs of entry daemon and kind of request that weren't served."""
+    answers = await asyncio.gather(
+        *(caller.send_with_retries(entry, kind) for entry, kind in part)
+    )
+    results.extend(answers)
     pairs = zip(part, answers, strict=True)
-    return [wanted for wanted, answer in pairs if not answer.whole]
+    return [pair for pair, answer in pairs if not answer.whole]
 
 
 def describe(verdict):
-    """Return the lines that tell a `Verdict`."""
-    drawn = verdict.play
-    names = ", ".join(f"{m.trouble} {m.at:.1f} s" for m in drawn.troubles)
-    daemons = sum(service.endpoints for service in drawn.services)
-    recovered = "" if verdict.recovered else ", NOT SERVED AGAIN"
+    """Return the lines that describe a `Verdict`."""
+    scenario = verdict.scenario
+    names = ", ".join(f"{m.disruption} {m.at:.1f} s" for m in scenario.disruptions)
+    daemons = sum(service.endpoints for service in scenario.services)
+    recovered = "" if verdict.recovered else ", NOT RECOVERED"
     lines = [
-        f"seed {drawn.seed}: {daemons} daemons, {len(drawn.services)} services,"
-        f" {len(drawn.zones)} zones; {names}; {verdict.whole:.2f} whole{recovered}"
+        f"seed {scenario.seed}: {daemons} daemons, {len(scenario.services)} services,"
+        f" {len(scenario.zones)} zones; {names}; {verdict.whole:.2f} whole{recovered}"
+    ]
+    lines += [
+        f"  VIOLATED {each.guarantee}: {each.details}" for each in verdict.violations
     ]
-    lines += [f"  BROKEN {each.promise}: {each.seen}" for each in verdict.broken]
     return lines
 
 
 def main(arguments=None):
-    """Run the command; return 1 if anything was broken or not served again."""
+    """Run the command; return 1 after any violation or missing recovery."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seed", type=int, default=1, help="of the first mesh")
-    parser.add_argument("--count", type=int, default=10, help="of meshes")
     parser.add_argument(
-        "--factor", type=int, default=1, help="multiple of the usual endpoints"
+        "--seed", type=int, default=1, help="seed of the first scenario"
+    )
+    parser.add_argument("--count", type=int, default=10, help="number of scenarios")
+    parser.add_argument(
+        "--factor", type=int, default=1, help="factor on the number of endpoints"
     )
-    parser.add_argument("--log", metavar="FILE", help="for the daemons' log lines")
+    parser.add_argument("--log", metavar="FILE", help="file for the daemons' log lines")
     options = parser.parse_args(arguments)
     if options.log:
         logs.install_log(options.log)
     failed = 0
     for seed in range(options.seed, options.seed + options.count):
-        drawn = draws.draw_play(seed, sorted(troubles.TROUBLES), options.factor)
-        verdict = asyncio.run(play(drawn))
-        failed += bool(verdict.broken) or not verdict.recovered
+        scenario = scenarios.draw_scenario(
+            seed, sorted(disruptions.DISRUPTIONS), options.factor
+        )
+        verdict = asyncio.run(run_scenario(scenario))
+        failed += bool(verdict.violations) or not verdict.recovered
         print("\n".join(describe(verdict)), flush=True)
-    print(f"{options.count} meshes, {failed} with something broken")
+    print(f"{options.count} scenarios, {failed} failed")
     return 1 if failed else 0
 
 
--- a/emulator/load.py
+++ b/emulator/load.py
@@ -1,4 +1,4 @@
-"""A load tool: asks at times drawn from a seed, and sums up what callers got."""
+"""A load generator: sends requests at random times and summarizes the results."""
 
 import asyncio
 import math
@@ -7,16 +7,17 @@
 
 from . import caller
 
-# What a caller got, the best first; "refused" is what surely has not run.
+# Outcomes for a caller, the best first. A "refused" request is guaranteed not to have
+# run.
 OUTCOMES = IN_TIME, LATE, REFUSED, FAILED = "in time", "late", "refused", "failed"
 
 
 class Phase(NamedTuple):
-    """A part of a load.
+    """A part of a load with a constant rate.
 
     Attributes:
-        seconds: How long it lasts.
-        factor: Multiple of the usual rates.
+        seconds: Duration in seconds.
+        factor: Factor on the base rates of all flows.
     """
 
     seconds: float
@@ -24,7 +25,7 @@
 
 
 class Flow(NamedTuple):
-    """Requests of one kind: its name, the kind, the usual rate a second."""
+    """Requests of one kind: name, `caller.Kind`, base rate in requests per second."""
 
     name: str
     kind: caller.Kind
@@ -32,35 +33,35 @@
 
 
 class Result(NamedTuple):
-    """What came of one request.
+    """Result of one request of a load.
 
     Attributes:
         flow: Name of its flow.
-        phase: Number of its phase.
-        at: When it was asked for, in seconds from the start of the load.
-        told: What its caller was told.
+        phase: Index of its phase.
+        at: Scheduled time, in seconds from the start of the load.
+        caller_result: What its caller received.
     """
 
     flow: str
     phase: int
     at: float
-    told: caller.Told
+    caller_result: caller.CallerResult
 
 
 class Summary(NamedTuple):
-    """What the requests of one flow got, in shares of all of them.
+    """Outcomes of the requests of one flow, as shares of their number.
 
     Attributes:
-        asked: How many there were.
-        in_time: Share answered whole within the objective.
-        late: Share answered whole later.
-        refused: Share told in the end that it was not run.
-        failed: The rest.
-        median: Median seconds of the whole answers.
-        slowest: 99th percentile of these.
+        requests: Number of requests.
+        in_time: Share with a complete answer within the objective.
+        late: Share with a complete answer after the objective.
+        refused: Share whose last attempt was refused and guaranteed not to have run.
+        failed: Share of all other requests.
+        median: Median latency of the complete answers, in seconds.
+        slowest: 99th percentile of the same latencies, in seconds.
     """
 
-    asked: int
+    requests: int
     in_time: float
     late: float
     refused: float
@@ -70,32 +71,33 @@
 
     @property
     def whole(self):
-        """Share answered whole at all."""
+        """Share with a complete answer, in time or late."""
         return self.in_time + self.late
 
 
-async def play(entries, flows, phases, seed=0, pools=None):
-    """Play a load and return its `Result` tuples.
+async def run_load(entries, flows, phases, seed=0, pools=None):
+    """Send the requests of a load and return their `Result` tuples.
 
     Args:
-        entries: Addresses of the daemons, one of which is drawn for each request.
+        entries: Addresses of the entry daemons, one of which is chosen at random for
+            each request.
         flows: `Flow` tuples.
-        phases: `Phase` tuples, one after the other.
-        seed: Seed of the draws.
-        pools: `caller.Pools` of callers that keep connections; without, each
-            asking opens one.
+        phases: `Phase` tuples, in order.
+        seed: Seed of the random choices.
+        pools: `caller.Pools` of connections to reuse; without them, each attempt
+            opens a connection.
     """
     loop, draw = asyncio.get_running_loop(), random.Random(seed)
-    tasks, began = [], loop.time()
-    for at, flow, phase in schedule(flows, phases, draw):
-        await asyncio.sleep(max(0.0, began + at - loop.time()))
+    tasks, start_time = [], loop.time()
+    for at, flow, phase in schedule_requests(flows, phases, draw):
+        await asyncio.sleep(max(0.0, start_time + at - loop.time()))
         entry = draw.choice(entries)
-        tasks.append(loop.create_task(_ask(entry, flow, phase, at, pools)))
+        tasks.append(loop.create_task(_send(entry, flow, phase, at, pools)))
     return await asyncio.gather(*tasks)
 
 
-def schedule(flows, phases, draw):
-    """Return the times, flows and phases of all requests, in order."""
+def schedule_requests(flows, phases, draw):
+    """Return (time, flow, phase index) of all requests, ordered by time."""
     due, start = [], 0.0
     for number, phase in enumerate(phases):
         for flow in flows:
@@ -109,34 +111,36 @@
     return sorted(due, key=lambda each: each[0])
 
 
-async def _ask(entry, flow, phase, at, pools):
-    return Result(flow.name, phase, at, await caller.ask(entry, flow.kind, pools))
+async def _send(entry, flow, phase, at, pools):
+    return Result(
+        flow.name, phase, at, await caller.send_with_retries(entry, flow.kind, pools)
+    )
 
 
-def name_outcome(told, objective):
-    """Return what a caller got, one of `OUTCOMES`.
+def name_outcome(caller_result, objective):
+    """Return the outcome of a request, one of `OUTCOMES`.
 
     Args:
-        told: The `caller.Told`.
-        objective: Seconds within which an answer is worth all.
+        caller_result: The `caller.CallerResult`.
+        objective: Target latency in seconds.
     """
-    if told.whole:
-        return IN_TIME if told.seconds <= objective else LATE
-    return REFUSED if told.statuses[-1] in caller.PROMISES else FAILED
+    if caller_result.whole:
+        return IN_TIME if caller_result.seconds <= objective else LATE
+    return REFUSED if caller_result.statuses[-1] in caller.NOT_RUN_STATUSES else FAILED
 
 
 def summarize(results, flow, phase=None):
-    """Return the `Summary` of one `Flow`, of one phase or of all."""
-    told = [
-        result.told
+    """Return the `Summary` of a `Flow` over one phase, or over all without `phase`."""
+    caller_results = [
+        result.caller_result
         for result in results
         if result.flow == flow.name and phase in (None, result.phase)
     ]
-    whole = sorted(each.seconds for each in told if each.whole)
-    named = [name_outcome(each, flow.kind.objective) for each in told]
-    count = max(1, len(told))
+    whole = sorted(each.seconds for each in caller_results if each.whole)
+    named = [name_outcome(each, flow.kind.objective) for each in caller_results]
+    count = max(1, len(caller_results))
     return Summary(
-        len(told),
+        len(caller_results),
         *(named.count(name) / count for name in OUTCOMES),
         find_quantile(whole, 0.5),
         find_quantile(whole, 0.99),
@@ -144,7 +148,7 @@
 
 
 def find_quantile(ordered, share):
-    """Return the smallest value that `share` of ordered values don't exceed."""
+    """Return the smallest of the ordered values that a `share` of them don't exceed."""
     if not ordered:
         return math.nan
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
--- a/emulator/mesh.py
+++ b/emulator/mesh.py
@@ -1,4 +1,4 @@
-"""A whole mesh on the platform: a store, and daemons with their backend servers."""
+"""An emulated mesh in one process: a store, and daemons with their backend servers."""
 
 import asyncio
 import json
@@ -13,33 +13,34 @@
 from . import backend, store
 
 LOCAL = "127.0.0.1"
-LISTEN_TRIES = 5
+MAX_LISTEN_ATTEMPTS = 5
 
 
 class Service(NamedTuple):
     """One service of a mesh.
 
     Attributes:
-        name: Its name.
-        endpoints: Backend servers of it, one in each availability zone in turn.
-        slots: Requests that each works on at once.
-        works: `backend.Work` by path prefix.
+        name: Name of the service.
+        endpoints: Number of backend servers, assigned to the availability zones in
+            turn.
+        slots: Maximum number of concurrent requests of each backend server.
+        work_by_prefix: `backend.Work` by path prefix.
     """
 
     name: str
     endpoints: int
     slots: int
-    works: dict
+    work_by_prefix: dict
 
 
 class Member(NamedTuple):
-    """One instance.
+    """One instance: a daemon and its backend server.
 
     Attributes:
-        node: Its daemon.
-        task: What runs the daemon.
-        backend: Its backend server.
-        callers: Where callers ask, an "IP:PORT".
+        node: The daemon.
+        task: Task that runs the daemon.
+        backend: The backend server.
+        callers: "IP:PORT" at which the daemon serves callers.
         settings: Settings of the daemon.
     """
 
@@ -55,7 +56,7 @@
 
     Args:
         services: `Service` tuples.
-        configuration: Table as the operator writes it.
+        configuration: Configuration as the operator writes it.
         zones: Availability zones.
     """
 
@@ -84,45 +85,45 @@
             member.node.close()
             member.backend.close()
         self.store.server.abort()
-        # Connections that were dropped cancel their requests in the next turns
-        # of the loop.
+        # Closed connections cancel their requests in the next iterations of the
+        # event loop.
         await asyncio.sleep(0.02)
 
     def configure(self, configuration):
-        """Write a configuration as the operator does."""
+        """Write a configuration to the store as the operator does."""
         value = json.dumps(configuration).encode()
         self.store.put("keyed.op", "config", value)
 
     async def add(self, service, zone):
         """Start an instance and return its `Member`."""
         number = len(self.members)
-        own = backend.Backend(
+        server = backend.Backend(
             f"i-{service.name}-{number}",
             service.name,
             service.slots,
-            service.works,
+            service.work_by_prefix,
             number,
         )
-        port = await own.listen()
-        for _ in range(LISTEN_TRIES):
-            given = self._form_settings(f"instance-{number}", service, zone, port)
-            node = Node(given)
+        port = await server.listen()
+        for _ in range(MAX_LISTEN_ATTEMPTS):
+            settings = self._build_settings(f"instance-{number}", service, zone, port)
+            node = Node(settings)
             try:
                 await node.listen()
                 break
             except OSError:
-                # Another process has taken a port between the search and now.
+                # Another process has bound one of the ports since the search.
                 node.close()
-        callers = str(given.callers)
-        own.attach(callers, str(given.announcements))
+        callers = str(settings.callers)
+        server.attach(callers, str(settings.announcements))
         task = self._start(node.serve())
-        self._start(own.keep_announcing())
-        member = Member(node, task, own, callers, given)
+        self._start(server.keep_announcing())
+        member = Member(node, task, server, callers, settings)
         self.members.append(member)
         return member
 
-    def _form_settings(self, instance, service, zone, port):
-        """Return settings of a daemon, on ports that are free just now."""
+    def _build_settings(self, instance, service, zone, port):
+        """Return the settings of a daemon, on ports that are free at the moment."""
         ports = processes.find_ports(5)
         return InstanceSettings(
             instance=instance,
@@ -142,13 +143,13 @@
         )
 
     async def kill(self, member):
-        """End a daemon at once; its backend server lives on."""
+        """Kill a daemon without a drain; its backend server keeps running."""
         member.task.cancel()
         await asyncio.gather(member.task, return_exceptions=True)
         member.node.close()
 
-    async def start_again(self, member):
-        """Start a daemon that was killed, at its old addresses."""
+    async def restart(self, member):
+        """Start a stopped daemon again, at the same addresses; return its `Member`."""
         node = Node(member.settings)
         await node.listen()
         task = self._start(node.serve())
@@ -161,7 +162,7 @@
         return [m for m in self.members if m.backend.service == service]
 
     def is_complete(self):
-        """Whether every daemon knows all that it needs to serve."""
+        """Return whether each daemon has configuration, backend and all endpoints."""
         return all(
             member.node.instance.table.version
             and member.node.instance.guard.backend is not None
@@ -177,7 +178,7 @@
         """Wait until a condition holds.
 
         Raises:
-            TimeoutError: When it doesn't in time.
+            TimeoutError: If it doesn't hold within `seconds`.
         """
         async with asyncio.timeout(seconds):
             while not condition():
--- a/emulator/press.py
+++ b/emulator/samplemesh.py
@@ -1,4 +1,4 @@
-"""A small mesh in the shape of a press: two services in front of a deep one."""
+"""A small sample mesh: two upstream services call a downstream one."""
 
 from . import backend, caller, load, mesh
 
@@ -23,7 +23,7 @@
 
 
 def build_route(host, prefix, service, kind, priority, timeout, objective):
-    """Return a route as the operator writes it."""
+    """Return a route as the operator writes it, with times in milliseconds."""
     return {
         "host": host,
         "path_prefix": prefix,
@@ -45,8 +45,7 @@
 }
 CONFIGURATION = {"version": "r3", "routes": ROUTES, "services": {}, "limits": {}}
 
-# The deep service has 4 slots. At these
-# rates 1.5 of them are in use.
+# At these rates, 1.5 of the 4 slots of the service "deep" are in use.
 FLOWS = (
     load.Flow("pay", caller.Kind("f.example", "/pay/1", "POST", 0.8, 0.8, 3.0), 6),
     load.Flow("status", caller.Kind("d.example", "/status/1", "GET", 0.6, 0.15, 2), 10),
--- a/emulator/store.py
+++ b/emulator/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: its topics, and its faults on command."""
+"""An emulated store of the platform, with faults that tests can inject."""
 
 import asyncio
 import base64
@@ -16,15 +16,16 @@
 
 
 class Faults(NamedTuple):
-    """What the store does wrong until told otherwise.
+    """Faults of the store, in effect until they are replaced.
 
     Attributes:
-        refuse: Status with which every call is answered; 0 for none.
-        silent: Whether it answers nothing at all.
-        delay: Seconds by which each answer is late.
-        lose: Whether appends are done and not answered.
-        late: Seconds after which such an append is done.
-        refused: IP numbers of those that alone get `refuse`; empty for all.
+        refuse: HTTP status with which every call is answered; 0 for no refusals.
+        silent: Whether the store answers no call at all.
+        delay: Delay of each answer in seconds.
+        lose: Whether appends are applied without an answer.
+        late: Delay in seconds after which such an append is applied.
+        refused: IP addresses of the only clients to which `refuse` applies; empty for
+            all clients.
     """
 
     refuse: int = 0
@@ -36,7 +37,7 @@
 
 
 class Topic:
-    """The records of one topic's only partition."""
+    """The records of a topic, which has a single partition."""
 
     def __init__(self):
         self.records = []
@@ -50,7 +51,7 @@
         return self.first + len(self.records)
 
     def append(self, data):
-        """Append a record and wake those that wait for it."""
+        """Append a record and wake the readers that wait for it."""
         key, value = split_record(data)
         if value:
             self.newest[key] = (value, self.end)
@@ -61,12 +62,12 @@
         self.changed = asyncio.Event()
 
     def compact(self):
-        """Drop the history; the newest record of each key stays."""
+        """Drop the history and keep only the newest record of each key."""
         self.first, self.records = self.end, []
 
 
 class Store:
-    """The store; `topics` and `faults` are there for tests to change."""
+    """The store; tests may change `topics` and `faults`."""
 
     def __init__(self):
         self.topics = {}
@@ -75,15 +76,15 @@
         self.server = Server(self._answer, Limits())
 
     async def listen(self, host="127.0.0.1", port=0):
-        """Serve; return the port."""
+        """Start serving and return the port."""
         return await self.server.listen(host, port)
 
     def find(self, name):
-        """Return a topic, made at its first use."""
+        """Return a topic, created at its first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic, key, value):
-        """Append as the operator does."""
+        """Append a record as the operator does."""
         self.find(topic).append(build_record(key, value))
 
     async def _answer(self, http, sender):
@@ -116,21 +117,21 @@
         offset = topic.end
         for data in split_records(body):
             topic.append(data)
-        return answer_json({"offset": offset, "end_offset": topic.end})
+        return build_json_response({"offset": offset, "end_offset": topic.end})
 
 
 def build_record(key, value):
-    """Return the content of a record of a keyed topic."""
+    """Return the encoded record of a keyed topic."""
     return bytes([len(key)]) + key.encode() + value
 
 
 def split_record(data):
-    """Return key and value of a record."""
+    """Return the key and value of an encoded record."""
     return data[1 : 1 + data[0]].decode(), data[1 + data[0] :]
 
 
 def split_records(body):
-    """Yield the contents of framed records."""
+    """Yield the encoded records of a body of length-prefixed records."""
     place = 0
     while place < len(body):
         (length,) = LENGTH.unpack_from(body, place)
@@ -138,8 +139,8 @@
         place += LENGTH.size + length
 
 
-def answer_json(document):
-    """Return an answer with a JSON body."""
+def build_json_response(document):
+    """Return a response with a JSON body."""
     return HttpResponse(
         200,
         "OK",
@@ -158,7 +159,7 @@
         }
         for key in keys[:PAGE_ITEMS]
     ]
-    return answer_json(
+    return build_json_response(
         {
             "items": items,
             "has_more": len(keys) > PAGE_ITEMS,
--- a/reports/__init__.py
+++ b/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Drawn reports: a load on the emulated mesh, and scores over time."""
+"""Reports on loads of the emulated mesh, on logs of daemons and on scores."""
--- a/reports/charts.py
+++ b/reports/charts.py
@@ -1,11 +1,11 @@
-"""Charts as SVG: stacked areas over time, lines, marked moments."""
+"""SVG charts over time, with lines or stacked areas and marked events."""
 
 from typing import NamedTuple
 from xml.etree import ElementTree
 
 WIDTH = 820
 HEIGHT = 150
-# Room for labels around the drawing, in pixels.
+# Margins around the plot area for labels, in pixels.
 LEFT, RIGHT, TOP, BOTTOM = 60, 130, 26, 22
 FONT = "font: 11px sans-serif"
 TITLE = "font: bold 12px sans-serif"
@@ -13,12 +13,12 @@
 
 
 class Series(NamedTuple):
-    """Values over time, and how they are drawn.
+    """Values over time, with their name and color.
 
     Attributes:
         name: Name in the legend.
-        color: Colour, as SVG names it.
-        values: One for each step of time.
+        color: SVG color name.
+        values: One value for each time step.
     """
 
     name: str
@@ -27,7 +27,7 @@
 
 
 class Mark(NamedTuple):
-    """A moment of note: its time in steps, and what happened."""
+    """An event to mark in a chart: its time in steps, and its label."""
 
     at: float
     text: str
@@ -37,13 +37,13 @@
     """One chart.
 
     Attributes:
-        title: What it shows, with its unit.
-        series: `Series` tuples, all of one length.
+        title: Title, with the unit of the values.
+        series: `Series` tuples, all of the same length.
         marks: `Mark` tuples.
-        step: What one step of time is, for the axis: its number of units.
-        unit: The unit of the axis.
-        is_stacked: Whether values are drawn upon each other, as areas.
-        labels: Texts for the steps, in place of numbers; () for numbers.
+        step: Length of a time step in units of the time axis.
+        unit: Unit of the time axis.
+        is_stacked: Whether values are drawn as stacked areas instead of lines.
+        labels: Labels of the time steps; () labels them with their time.
     """
 
     title: str
@@ -56,22 +56,27 @@
 
 
 class Scale(NamedTuple):
-    """From steps and values to pixels."""
+    """Converts time steps and values into pixel coordinates.
+
+    Attributes:
+        steps: Number of time steps.
+        highest: Largest value of the chart.
+    """
 
     steps: int
     highest: float
 
     def find_x(self, step):
-        """Return the pixel of a step."""
+        """Return the x coordinate of a time step."""
         return LEFT + step * (WIDTH - LEFT - RIGHT) / max(1, self.steps - 1)
 
     def find_y(self, value):
-        """Return the pixel of a value."""
+        """Return the y coordinate of a value."""
         return HEIGHT - BOTTOM - value * (HEIGHT - TOP - BOTTOM) / self.highest
 
 
 def draw_charts(charts):
-    """Return charts below each other as the text of one SVG file."""
+    """Return the text of an SVG file with the charts below each other."""
     size = {"width": str(WIDTH), "height": str(HEIGHT * len(charts))}
     root = ElementTree.Element("svg", xmlns="http://www.w3.org/2000/svg", **size)
     ElementTree.SubElement(root, "rect", width="100%", height="100%", fill="white")
@@ -87,19 +92,19 @@
     highest = max((max(each.values, default=0.0) for each in tops), default=0.0)
     scale = Scale(steps, highest or 1.0)
     _draw_axes(parent, chart, scale)
-    # The highest area first, so that those below are drawn over it.
+    # The topmost area comes first, so that the lower areas are drawn over it.
     for place, series in reversed(tuple(enumerate(tops))):
         _draw_series(parent, series, scale, chart.is_stacked)
         _write(parent, WIDTH - RIGHT + 10, TOP + 14 * place, series.name, series.color)
     for mark in chart.marks:
         x = scale.find_x(mark.at)
-        ends = {"x1": x, "x2": x, "y1": TOP, "y2": HEIGHT - BOTTOM}
-        _draw_line(parent, ends, "black", "4 3")
+        coordinates = {"x1": x, "x2": x, "y1": TOP, "y2": HEIGHT - BOTTOM}
+        _draw_line(parent, coordinates, "black", "4 3")
         _write(parent, x + 3, TOP + 9, mark.text)
 
 
 def _stack(series):
-    """Return series whose values hold those of all before them too."""
+    """Return the series with cumulated values: each includes those before it."""
     tops, below = [], None
     for each in series:
         values = each.values
@@ -115,8 +120,8 @@
     for number in range(TICKS + 1):
         value = scale.highest * number / TICKS
         y = scale.find_y(value)
-        ends = {"x1": LEFT, "x2": WIDTH - RIGHT, "y1": y, "y2": y}
-        _draw_line(parent, ends, "lightgrey")
+        coordinates = {"x1": LEFT, "x2": WIDTH - RIGHT, "y1": y, "y2": y}
+        _draw_line(parent, coordinates, "lightgrey")
         _write(parent, 4, y + 4, f"{value:.3g}")
     for step in _choose_steps(scale.steps):
         text = f"{step * chart.step:g} {chart.unit}"
@@ -126,7 +131,7 @@
 
 
 def _choose_steps(steps):
-    """Return some steps to be labelled, evenly spread."""
+    """Return the evenly spaced steps that get a label."""
     every = max(1, (steps - 1) // 8)
     return range(0, steps, every)
 
@@ -144,14 +149,14 @@
             parent, "polygon", points=" ".join(points), fill=series.color
         )
         return
-    look = {"fill": "none", "stroke": series.color, "stroke-width": "1.5"}
-    ElementTree.SubElement(parent, "polyline", points=" ".join(points), **look)
+    attributes = {"fill": "none", "stroke": series.color, "stroke-width": "1.5"}
+    ElementTree.SubElement(parent, "polyline", points=" ".join(points), **attributes)
 
 
-def _draw_line(parent, ends, color, dashes="none"):
-    ends = {name: f"{value:.1f}" for name, value in ends.items()}
-    look = {"stroke": color, "stroke-dasharray": dashes}
-    ElementTree.SubElement(parent, "line", **ends, **look)
+def _draw_line(parent, coordinates, color, dashes="none"):
+    coordinates = {name: f"{value:.1f}" for name, value in coordinates.items()}
+    attributes = {"stroke": color, "stroke-dasharray": dashes}
+    ElementTree.SubElement(parent, "line", **coordinates, **attributes)
 
 
 def _write(parent, x, y, text, color="black", style=FONT):
--- a/reports/loads.py
+++ b/reports/loads.py
@@ -1,4 +1,4 @@
-"""What callers of the emulated mesh got over time, drawn by kind of request."""
+"""Charts of the outcomes and latencies of a load on the emulated mesh, by flow."""
 
 import math
 
@@ -7,7 +7,7 @@
 from . import charts
 
 STEP_SECONDS = 0.5
-# In the order in which they are stacked, the best at the bottom.
+# In stacking order, the best outcome at the bottom.
 COLORS = {
     load.IN_TIME: "seagreen",
     load.LATE: "gold",
@@ -18,25 +18,25 @@
 
 
 def draw_load(results, flows, phases):
-    """Return the text of an SVG: two charts for each flow.
+    """Return the text of an SVG file with two charts for each flow.
 
     Args:
         results: `load.Result` tuples.
         flows: `load.Flow` tuples.
-        phases: `load.Phase` tuples, one after the other.
+        phases: `load.Phase` tuples, in order.
     """
     marks = list_marks(phases)
     drawn = []
     for flow in flows:
-        own = [result for result in results if result.flow == flow.name]
-        steps = _split(own, sum(phase.seconds for phase in phases))
+        flow_results = [result for result in results if result.flow == flow.name]
+        steps = _split(flow_results, sum(phase.seconds for phase in phases))
         drawn.append(_chart_outcomes(flow, steps, marks))
         drawn.append(_chart_latency(flow, steps, marks))
     return charts.draw_charts(drawn)
 
 
 def list_marks(phases):
-    """Return a `charts.Mark` where each phase begins."""
+    """Return a `charts.Mark` at the start of each phase."""
     marks, at = [], 0.0
     for phase in phases:
         marks.append(charts.Mark(at / STEP_SECONDS, f"{phase.factor:g} x"))
@@ -45,7 +45,7 @@
 
 
 def _split(results, seconds):
-    """Return the results of each step of time, by when they were asked for."""
+    """Return a list of results for each time step, by their scheduled time."""
     steps = [[] for _ in range(math.ceil(seconds / STEP_SECONDS))]
     for result in results:
         steps[min(int(result.at / STEP_SECONDS), len(steps) - 1)].append(result)
@@ -54,29 +54,34 @@
 
 def _chart_outcomes(flow, steps, marks):
     objective = flow.kind.objective
-    named = [[load.name_outcome(r.told, objective) for r in step] for step in steps]
+    named = [
+        [load.name_outcome(r.caller_result, objective) for r in step] for step in steps
+    ]
     series = tuple(
         charts.Series(
             name, color, tuple(step.count(name) / STEP_SECONDS for step in named)
         )
         for name, color in COLORS.items()
     )
-    title = f"{flow.name}: requests a second, by what their callers got"
+    title = f"{flow.name}: requests per second, by outcome"
     return charts.Chart(title, series, marks, STEP_SECONDS, is_stacked=True)
 
 
 def _chart_latency(flow, steps, marks):
-    whole = [sorted(r.told.seconds for r in step if r.told.whole) for step in steps]
+    whole = [
+        sorted(r.caller_result.seconds for r in step if r.caller_result.whole)
+        for step in steps
+    ]
     series = tuple(
         charts.Series(name, color, tuple(_find_milliseconds(whole, share)))
         for name, color, share in QUANTILES
     )
-    title = f"{flow.name}: milliseconds to a whole answer, first asking to last"
+    title = f"{flow.name}: latency of complete answers over all attempts, in ms"
     return charts.Chart(title, series, marks, STEP_SECONDS)
 
 
 def _find_milliseconds(steps, share):
-    """Yield a quantile of each step's seconds, 0 where there are none."""
+    """Yield a quantile of the latencies of each step, 0 for a step without any."""
     for seconds in steps:
         quantile = load.find_quantile(seconds, share)
         yield 0.0 if math.isnan(quantile) else 1000 * quantile
--- a/reports/scores.py
+++ b/reports/scores.py
@@ -1,7 +1,7 @@
-"""Scores of the users' sites over time, drawn from the entries under ``journal/``.
+"""Charts of the scores of the users' sites, from the entries under ``journal/``.
 
-``python -m reports.scores FILE.svg``: a line for each site, and for each of its
-standard days.
+``python -m reports.scores FILE.svg``: draws a line for each site, and one for each
+of its standard days.
 """
 
 import argparse
@@ -21,9 +21,9 @@
 
     Attributes:
         site: Name of the site.
-        when: Date and time, as text.
-        score: Its score.
-        days: Pairs of a standard day's name and its worth.
+        when: Date and time as ISO 8601 text.
+        score: Score over all standard days.
+        days: Pairs of the name of a standard day and its worth.
     """
 
     site: str
@@ -43,7 +43,7 @@
 
 
 def read_scores(entries):
-    """Return the `Score` tuples of entries, in their order; others are left out."""
+    """Return the `Score` tuples of the entries with a full score, in their order."""
     return [
         Score(
             entry["site"],
@@ -57,26 +57,28 @@
 
 
 def draw_scores(scores):
-    """Return the text of an SVG: two charts for each site."""
+    """Return the text of an SVG file with two charts for each site."""
     drawn = []
     for site in sorted({score.site for score in scores}):
-        own = [score for score in scores if score.site == site]
-        labels = tuple(score.when[5:16] for score in own)
-        line = charts.Series("score", "black", tuple(score.score for score in own))
+        site_scores = [score for score in scores if score.site == site]
+        labels = tuple(score.when[5:16] for score in site_scores)
+        line = charts.Series(
+            "score", "black", tuple(score.score for score in site_scores)
+        )
         title = f"{site}: score of all standard days"
         drawn.append(charts.Chart(title, (line,), labels=labels))
         title = f"{site}: worth of each standard day"
-        drawn.append(charts.Chart(title, _list_days(own), labels=labels))
+        drawn.append(charts.Chart(title, _list_days(site_scores), labels=labels))
     return charts.draw_charts(drawn)
 
 
 def _list_days(scores):
-    """Return a series for each day that all scores hold."""
+    """Return a series for each standard day that all scores include."""
     names = [name for name, _ in scores[0].days]
-    known = [dict(score.days) for score in scores]
-    shared = [name for name in names if all(name in days for days in known)]
+    day_scores = [dict(score.days) for score in scores]
+    shared = [name for name in names if all(name in days for days in day_scores)]
     return tuple(
-        charts.Series(name, color, tuple(max(0.0, days[name]) for days in known))
+        charts.Series(name, color, tuple(max(0.0, days[name]) for days in day_scores))
         for name, color in zip(shared, COLORS, strict=False)
     )
 
--- a/reports/services.py
+++ b/reports/services.py
@@ -1,7 +1,7 @@
-"""What each service did in each second of a log: slots, jobs, levels, refusals.
+"""Load of each service in each second of a log: slots, jobs, levels, refusals.
 
-``python -m reports.services FILE`` adds up the daemons' ``load`` lines. A line may have
-text before it, as a collector puts it there.
+``python -m reports.services FILE`` aggregates the daemons' ``load`` lines. A line may
+have a prefix, as log collectors add it.
 """
 
 import argparse
@@ -12,25 +12,25 @@
 
 from whinwinch import explanations
 
-# Refusals of a second that are named; the rest are of smaller kinds.
-MOST_REFUSALS = 3
+# Only the most frequent kinds of refusals of a second are listed.
+MAX_LISTED_REFUSALS = 3
 
 
 class Second(NamedTuple):
-    """What the daemons of one service wrote in one second.
+    """Sum of the load lines of one service in one second.
 
     Attributes:
-        second: Second of the time of day.
-        service: Its name.
-        daemons: Daemons that wrote a line.
-        slots: Slots announced.
-        limit: Limits on requests in them, added up.
-        busy: Slots in use on average.
-        waiting: Requests that waited for one.
-        ended: Requests that left the backend servers.
-        spent: Slot seconds that they took.
-        levels: Mean level told by route, over all daemons that wrote.
-        refused: Counts by place, route and reason.
+        second: Logged time, in whole seconds.
+        service: Name of the service.
+        daemons: Number of daemons that wrote a line.
+        slots: Slots that the backend servers announced.
+        limit: Sum of the limits on concurrent requests.
+        busy: Mean number of slots in use.
+        waiting: Number of requests that waited for a slot.
+        ended: Number of requests that left the backend servers.
+        slot_seconds: Slot seconds that these requests used.
+        levels: Mean reported admission level by route, over the same daemons.
+        refused: Number of refusals by place, route and reason.
     """
 
     second: int
@@ -41,7 +41,7 @@
     busy: float
     waiting: int
     ended: int
-    spent: float
+    slot_seconds: float
     levels: dict
     refused: collections.Counter
 
@@ -49,8 +49,8 @@
 def main(arguments=None):
     """Run the command; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("log", type=pathlib.Path, help="what the daemons logged")
-    parser.add_argument("--service", default="", help="this one only")
+    parser.add_argument("log", type=pathlib.Path, help="log file of the daemons")
+    parser.add_argument("--service", default="", help="show only this service")
     options = parser.parse_args(arguments)
     with options.log.open(encoding="utf-8", errors="replace") as lines:
         seconds = add_up(read_loads(lines))
@@ -70,7 +70,7 @@
 
 
 def add_up(loads):
-    """Return the `Second` tuples of load lines, in order of time and service."""
+    """Return the `Second` tuples of load lines, ordered by time and service."""
     groups = collections.defaultdict(list)
     for fields in loads:
         groups[int(fields["time"]), fields["service"]].append(fields)
@@ -80,29 +80,33 @@
 def _add_group(second, service, group):
     levels, refused = collections.Counter(), collections.Counter()
     for fields in group:
-        for route, own, below in fields["levels"]:
-            levels[route] += max(own, below) / len(group)
+        for route, own_level, below in fields["levels"]:
+            levels[route] += max(own_level, below) / len(group)
         for at, route, reason, count in fields["refused"]:
             refused[at, route, reason] += count
     sums = (
         sum(fields[name] for fields in group)
         for name in ("slots", "limit", "busy", "waiting", "ended")
     )
-    spent = sum(fields["ended"] * fields["job_seconds"] for fields in group)
-    return Second(second, service, len(group), *sums, spent, dict(levels), refused)
+    slot_seconds = sum(fields["ended"] * fields["job_seconds"] for fields in group)
+    return Second(
+        second, service, len(group), *sums, slot_seconds, dict(levels), refused
+    )
 
 
 def render_seconds(seconds):
-    """Return `Second` tuples as a table, the first second as 0."""
+    """Return the table of `Second` tuples, counting seconds from 0."""
     lines = ["second service     daemons slots limit   busy waiting ended job ms"]
     first = None
     for each in seconds:
         first = each.second if first is None else first
-        job = 1000.0 * each.spent / each.ended if each.ended else 0.0
+        job = 1000.0 * each.slot_seconds / each.ended if each.ended else 0.0
         levels = " ".join(f"{r}={level:.2f}" for r, level in each.levels.items())
         refused = " ".join(
             f"{at}/{route}/{reason}={count}"
-            for (at, route, reason), count in each.refused.most_common(MOST_REFUSALS)
+            for (at, route, reason), count in each.refused.most_common(
+                MAX_LISTED_REFUSALS
+            )
         )
         lines.append(
             f"{each.second - first:>6} {each.service:<12} {each.daemons:>6}"
--- a/reports/traffic.py
+++ b/reports/traffic.py
@@ -1,7 +1,7 @@
-"""What daemons sent to each other, added up over a log by kind and zone.
+"""Traffic between daemons, summed over a log by kind of message and zone.
 
-``python -m reports.traffic FILE`` adds up the daemons' ``load`` lines. A line may have
-text before it, as a collector puts it there.
+``python -m reports.traffic FILE`` sums the daemons' ``load`` lines. A line may have
+a prefix, as log collectors add it.
 """
 
 import argparse
@@ -16,11 +16,11 @@
 
 
 class Total(NamedTuple):
-    """What all daemons sent of one kind to one place.
+    """Traffic of all daemons of one kind of message to one place.
 
     Attributes:
-        frames: Messages.
-        size: Their bytes.
+        frames: Number of messages.
+        size: Size of these messages in bytes.
     """
 
     frames: int = 0
@@ -30,7 +30,7 @@
 def main(arguments=None):
     """Run the command; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("log", type=pathlib.Path, help="what the daemons logged")
+    parser.add_argument("log", type=pathlib.Path, help="log file of the daemons")
     options = parser.parse_args(arguments)
     with options.log.open(encoding="utf-8", errors="replace") as lines:
         totals = add_up(services.read_loads(lines))
@@ -39,7 +39,7 @@
 
 
 def add_up(loads):
-    """Return a `Total` for each kind and place of load lines."""
+    """Return a `Total` for each pair of message kind and place in load lines."""
     totals = collections.defaultdict(Total)
     for fields in loads:
         for kind, place, frames, size in fields.get("sent", ()):
@@ -49,7 +49,7 @@
 
 
 def render_totals(totals):
-    """Return a table, what costs most bytes between zones in front."""
+    """Return the table of totals: traffic to other zones first, then by size."""
     lines = [f"{'kind':<14}{'place':<12}{'messages':>12}{'MB':>10}{'bytes each':>12}"]
     order = sorted(
         totals.items(),
--- a/test/emulator/test_fleet.py
+++ b/test/emulator/test_fleet.py
@@ -1,26 +1,28 @@
-"""Tests of the state of a whole mesh at a glance."""
+"""Tests of the summary of a mesh's state."""
 
 import asyncio
 import unittest
 
-from emulator import caller, mesh, press
+from emulator import caller, mesh, samplemesh
 from whinwinch import fleet
 
-BROWSE = press.FLOWS[-1].kind._replace(deadline=8.0)
+BROWSE = samplemesh.FLOWS[-1].kind._replace(deadline=8.0)
 
 
 class FleetTest(unittest.IsolatedAsyncioTestCase):
     async def test_state_of_a_mesh_with_a_daemon_that_is_down(self):
-        async with mesh.Mesh(press.SERVICES, press.CONFIGURATION) as running:
+        async with mesh.Mesh(samplemesh.SERVICES, samplemesh.CONFIGURATION) as running:
             settings = [member.settings for member in running.members]
             pages = [f"{given.daemons.host}:{given.metrics}" for given in settings]
             await running.kill(running.find("front")[0])
             entry = running.find("front")[1].callers
-            looking = asyncio.create_task(
+            report = asyncio.create_task(
                 asyncio.to_thread(fleet.measure_fleet, pages, 1.5)
             )
-            await asyncio.gather(*(caller.ask(entry, BROWSE) for _ in range(6)))
-            found = await looking
+            await asyncio.gather(
+                *(caller.send_with_retries(entry, BROWSE) for _ in range(6))
+            )
+            found = await report
         self.assertEqual(len(found.unreachable), 1)
         daemons = {service.name: service.daemons for service in found.services}
         self.assertEqual(daemons, {"front": 1, "middle": 2, "deep": 2})
--- a/test/emulator/test_generated.py
+++ b/test/emulator/test_generated.py
@@ -1,73 +1,90 @@
-"""Tests of meshes that are drawn from seeds, and short plays of some."""
+"""Tests of the generation of scenarios, and runs of some short ones."""
 
 import unittest
 
-from emulator import draws, generated, troubles
+from emulator import disruptions, generated, scenarios
 
-NAMES = sorted(troubles.TROUBLES)
+NAMES = sorted(disruptions.DISRUPTIONS)
 SEEDS = range(60)
-# Daemons killed, restarted and reset beside backend servers that do something wrong.
-PLAYED = 3, 6
+# In these, daemons are killed and restarted and connections are reset, while backend
+# servers have faults.
+PLAYED_SEEDS = 3, 6
 
 
-def find_use(play, service):
-    """Return the share of a service's slots that are in use at the usual load."""
-    by_host = {draws.name_host(each.name): each for each in play.services}
+def find_utilization(scenario, service):
+    """Return the share of a service's slots that are in use at the base load."""
+    by_host = {scenarios.name_host(each.name): each for each in scenario.services}
 
-    def spend(host, path):
+    def sum_work(host, path):
         target = by_host[host]
-        work = next(w for p, w in target.works.items() if path.startswith(p))
+        work = next(w for p, w in target.work_by_prefix.items() if path.startswith(p))
         own = work.seconds if target is service else 0.0
-        return own + sum(spend(call.host, call.path) for call in work.calls)
+        return own + sum(sum_work(call.host, call.path) for call in work.calls)
 
-    spent = sum(f.rate * spend(f.kind.host, f.kind.path) for f in play.flows)
-    return spent / (service.endpoints * service.slots)
+    used_seconds = sum(
+        f.rate * sum_work(f.kind.host, f.kind.path) for f in scenario.flows
+    )
+    return used_seconds / (service.endpoints * service.slots)
 
 
-class DrawsTest(unittest.TestCase):
-    def test_one_seed_draws_one_play(self):
-        self.assertEqual(draws.draw_play(7, NAMES), draws.draw_play(7, NAMES))
-        self.assertNotEqual(draws.draw_play(7, NAMES), draws.draw_play(8, NAMES))
+class ScenarioTest(unittest.TestCase):
+    def test_seed_determines_the_scenario(self):
+        self.assertEqual(
+            scenarios.draw_scenario(7, NAMES), scenarios.draw_scenario(7, NAMES)
+        )
+        self.assertNotEqual(
+            scenarios.draw_scenario(7, NAMES), scenarios.draw_scenario(8, NAMES)
+        )
 
-    def test_all_that_is_asked_for_and_called_has_a_route(self):
+    def test_each_request_and_call_has_a_route(self):
         for seed in SEEDS:
-            play = draws.draw_play(seed, NAMES)
+            scenario = scenarios.draw_scenario(seed, NAMES)
             routes = {
                 (route["host"], route["path_prefix"])
-                for route in play.configuration["routes"].values()
+                for route in scenario.configuration["routes"].values()
             }
-            asked = {(f.kind.host, f.kind.path[:-1]) for f in play.flows}
+            requested = {(f.kind.host, f.kind.path[:-1]) for f in scenario.flows}
             called = {
                 (call.host, call.path)
-                for service in play.services
-                for work in service.works.values()
+                for service in scenario.services
+                for work in service.work_by_prefix.values()
                 for call in work.calls
             }
-            self.assertLessEqual(asked | called, routes, seed)
+            self.assertLessEqual(requested | called, routes, seed)
 
-    def test_fullest_service_is_neither_idle_nor_full(self):
+    def test_most_utilized_service_is_neither_idle_nor_full(self):
         for seed in SEEDS:
-            play = draws.draw_play(seed, NAMES)
-            fullest = max(find_use(play, service) for service in play.services)
-            self.assertLessEqual(fullest, draws.HIGHEST_USE + 1e-6, seed)
-            self.assertGreater(fullest, 0.0, seed)
+            scenario = scenarios.draw_scenario(seed, NAMES)
+            most_utilized = max(
+                find_utilization(scenario, service) for service in scenario.services
+            )
+            self.assertLessEqual(most_utilized, scenarios.MAX_UTILIZATION + 1e-6, seed)
+            self.assertGreater(most_utilized, 0.0, seed)
 
-    def test_work_that_must_not_be_repeated_is_drawn_too(self):
-        plays = [draws.draw_play(seed, NAMES) for seed in SEEDS]
-        methods = {flow.kind.method for play in plays for flow in play.flows}
+    def test_scenarios_include_unsafe_requests(self):
+        drawn_scenarios = [scenarios.draw_scenario(seed, NAMES) for seed in SEEDS]
+        methods = {
+            flow.kind.method for scenario in drawn_scenarios for flow in scenario.flows
+        }
         self.assertEqual(methods, {"GET", "POST"})
 
-    def test_every_trouble_is_drawn(self):
-        plays = [draws.draw_play(seed, NAMES) for seed in SEEDS]
-        drawn = {moment.trouble for play in plays for moment in play.troubles}
+    def test_every_disruption_occurs(self):
+        drawn_scenarios = [scenarios.draw_scenario(seed, NAMES) for seed in SEEDS]
+        drawn = {
+            scheduled.disruption
+            for scenario in drawn_scenarios
+            for scheduled in scenario.disruptions
+        }
         self.assertEqual(drawn, set(NAMES))
 
 
-class PlaysTest(unittest.IsolatedAsyncioTestCase):
-    async def test_promises_hold_in_meshes_that_nobody_wrote_down(self):
-        for seed in PLAYED:
+class RunTest(unittest.IsolatedAsyncioTestCase):
+    async def test_guarantees_hold_in_randomized_scenarios(self):
+        for seed in PLAYED_SEEDS:
             with self.subTest(seed=seed):
-                verdict = await generated.play(draws.draw_play(seed, NAMES))
-                self.assertEqual(verdict.broken, ())
+                verdict = await generated.run_scenario(
+                    scenarios.draw_scenario(seed, NAMES)
+                )
+                self.assertEqual(verdict.violations, ())
                 self.assertTrue(verdict.recovered)
                 self.assertGreater(verdict.whole, 0.0)
--- a/test/emulator/test_topics.py
+++ b/test/emulator/test_topics.py
@@ -1,30 +1,30 @@
-"""Tests of how a change reaches all daemons though few of them read the store."""
+"""Tests that changes reach all daemons although few of them read the store."""
 
 import asyncio
 import unittest
 
-from emulator import caller, mesh, press
+from emulator import caller, mesh, samplemesh
 from whinwinch.platform.store import Outcome, StoreError
 
-# Seconds within which a change has to be in force everywhere.
-BOUND = 2.0
+# Time within which a change must be in force at all daemons.
+MAX_PROPAGATION_SECONDS = 2.0
 
 
 class TopicTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.mesh = mesh.Mesh(press.SERVICES, press.CONFIGURATION)
+        self.mesh = mesh.Mesh(samplemesh.SERVICES, samplemesh.CONFIGURATION)
         await self.mesh.__aenter__()
         self.addAsyncCleanup(self.mesh.__aexit__, None, None, None)
         await self.mesh.wait_until(lambda: len(self.find_readers()) == 2)
 
     def find_readers(self):
-        """Return the members that read the store for the others."""
+        """Return the members whose daemons read the store for the others."""
         return [m for m in self.mesh.members if m.node.instance.is_reader()]
 
     def change(self, version):
-        self.mesh.configure({**press.CONFIGURATION, "version": f"r{version}"})
+        self.mesh.configure({**samplemesh.CONFIGURATION, "version": f"r{version}"})
 
-    async def wait_for(self, version, members=None, seconds=BOUND):
+    async def wait_for(self, version, members=None, seconds=MAX_PROPAGATION_SECONDS):
         members = self.mesh.members if members is None else members
         await self.mesh.wait_until(
             lambda: all(m.node.instance.table.version == version for m in members),
@@ -32,7 +32,7 @@
         )
 
     def fail_reads(self, member, error=None):
-        """Let the reads of one daemon fail, or hang until they are given up."""
+        """Make the reads of a daemon fail with `error`, or time out without one."""
 
         async def read(*_):
             if error is None:
@@ -43,13 +43,13 @@
         store = member.node._store
         store.read_from = store.read_newest = read
 
-    async def test_two_read_for_all(self):
-        """Nothing happens for a while.
+    async def test_two_daemons_read_for_all(self):
+        """Only the readers call the store while nothing changes.
 
-        If each daemon read for itself, the store would serve thousands of calls that
-        all say the same.
+        If each daemon read for itself, the store would serve thousands of calls with
+        the same result.
         """
-        # What the daemons read while they started has been confirmed by then.
+        # By then, the readers have confirmed what the daemons read during their start.
         await asyncio.sleep(1.5)
         before = [sum(m.node._store.calls.values()) for m in self.mesh.members]
         await asyncio.sleep(3.0)
@@ -64,23 +64,23 @@
         self.assertEqual(called, self.find_readers())
 
     async def test_reader_whose_read_hangs(self):
-        """The connection of a reader to the store falls silent, then a change is made.
+        """A read of a reader hangs, and a change is made.
 
-        Until it gave up its read it answered as the version before says; its peers
-        had the new one all the while.
+        A reader that waited for its own read to time out would keep the previous
+        version in force while its peers already had the new one.
         """
         reader = self.find_readers()[0]
         self.fail_reads(reader)
-        # The read that is out is given up with its connection.
+        # The pending read times out together with its connection.
         await asyncio.sleep(1.0)
         self.change(4)
         await self.wait_for(4, [reader], 1.0)
         await self.wait_for(4)
 
     async def test_readers_that_die(self):
-        """All daemons that read for the others are killed, and a change follows.
+        """All readers are killed, and a change is made.
 
-        Nobody tells the others of it; they have to notice and to read.
+        No daemon reports the failure; the others must detect it and read the store.
         """
         dead = self.find_readers()
         for member in dead:
@@ -89,10 +89,10 @@
         await self.wait_for(4, [m for m in self.mesh.members if m not in dead])
 
     async def test_readers_that_hang(self):
-        """All daemons that read for the others stop hearing of the store.
+        """The reads of all readers time out.
 
-        They live and are connected, so only their silence tells that they read no
-        more.
+        The readers stay alive and connected, so that only missing confirmations show
+        that they no longer read.
         """
         for member in self.find_readers():
             self.fail_reads(member)
@@ -100,8 +100,8 @@
         self.change(4)
         await self.wait_for(4)
 
-    async def test_readers_that_are_turned_away(self):
-        """The store turns those away that read for the others, and serves the rest."""
+    async def test_readers_that_the_store_refuses(self):
+        """The store refuses the readers and serves all other daemons."""
         for member in self.find_readers():
             self.fail_reads(member, Outcome.BUSY)
         await asyncio.sleep(0.5)
@@ -120,37 +120,40 @@
             await asyncio.sleep(0.01)
         await self.wait_for(11)
 
-    async def test_daemon_that_comes_back_after_a_change(self):
-        """A daemon is away while a change is made and hears of it when it is back."""
+    async def test_daemon_that_restarts_after_a_change(self):
+        """A daemon is down while a change is made, and applies it after its restart."""
         reader = self.find_readers()[0]
         await self.mesh.kill(reader)
         self.change(4)
-        again = await self.mesh.start_again(reader)
+        again = await self.mesh.restart(reader)
         await self.wait_for(4, [again])
 
-    async def test_daemon_that_starts_anew_while_the_store_is_away(self):
-        """The store is down, and a daemon is stopped and started again meanwhile.
+    async def test_daemon_that_restarts_while_the_store_is_down(self):
+        """A daemon is restarted while the store is down.
 
-        Its callers would get 503 and its backend server no work until the store is
-        back, though all its peers know what it has forgotten.
+        Without the state of its peers, its callers would get 503 and its backend
+        server no work until the store is back.
         """
-        # Both may read for their zones; one that doesn't is the usual case.
+        # Prefer a daemon that isn't a reader, which is the usual case.
         deep = self.mesh.find("deep")
         member = min(deep, key=lambda member: member.node.instance.is_reader())
         self.mesh.store.faults = self.mesh.store.faults._replace(refuse=503)
         member.node.stop()
         await member.task
-        again = await self.mesh.start_again(member)
+        again = await self.mesh.restart(member)
         await self.wait_for(3, [again])
-        seen = len(again.backend.runs)
-        status = press.FLOWS[1].kind._replace(deadline=5.0)
+        runs_before = len(again.backend.runs)
+        status = samplemesh.FLOWS[1].kind._replace(deadline=5.0)
         for _ in range(20):
-            told = await asyncio.gather(
-                *(caller.ask(m.callers, status) for m in self.mesh.members)
+            results = await asyncio.gather(
+                *(
+                    caller.send_with_retries(m.callers, status)
+                    for m in self.mesh.members
+                )
             )
-            self.assertTrue(all(each.whole for each in told), told)
+            self.assertTrue(all(each.whole for each in results), results)
             await asyncio.sleep(0.1)
-        self.assertGreater(len(again.backend.runs), seen)
+        self.assertGreater(len(again.backend.runs), runs_before)
 
 
 if __name__ == "__main__":
--- a/test/reports/test_charts.py
+++ b/test/reports/test_charts.py
@@ -1,9 +1,9 @@
-"""Tests of the charts and of what is drawn in them."""
+"""Tests of the SVG charts and of the reports drawn with them."""
 
 import unittest
 from xml.etree import ElementTree
 
-from emulator import caller, load, press
+from emulator import caller, load, samplemesh
 from reports import charts, loads, scores
 
 SVG = "{http://www.w3.org/2000/svg}"
@@ -37,16 +37,18 @@
 
 
 class LoadTest(unittest.TestCase):
-    def test_each_flow_by_what_its_callers_got(self):
-        flow = press.FLOWS[0]
-        told = (
-            caller.Told(("1",), (200,), 0.1, True, 0.0),
-            caller.Told(("2",), (200,), 9.0, True, 0.0),
-            caller.Told(("3",), (503,), 0.1, False, 1.0),
-            caller.Told(("4",), (500,), 0.1, False, 0.0),
+    def test_charts_of_each_flow_by_outcome(self):
+        flow = samplemesh.FLOWS[0]
+        caller_results = (
+            caller.CallerResult(("1",), (200,), 0.1, True, 0.0),
+            caller.CallerResult(("2",), (200,), 9.0, True, 0.0),
+            caller.CallerResult(("3",), (503,), 0.1, False, 1.0),
+            caller.CallerResult(("4",), (500,), 0.1, False, 0.0),
         )
-        results = [load.Result(flow.name, 0, 0.1, each) for each in told]
-        names = [load.name_outcome(each, flow.kind.objective) for each in told]
+        results = [load.Result(flow.name, 0, 0.1, each) for each in caller_results]
+        names = [
+            load.name_outcome(each, flow.kind.objective) for each in caller_results
+        ]
         self.assertEqual(names, list(loads.COLORS))
         phases = (load.Phase(1.0), load.Phase(1.0, 4.0))
         root = read(loads.draw_load(results, (flow,), phases))
--- a/test/reports/test_losses.py
+++ b/test/reports/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of the tables of where a day's worth went."""
+"""Tests of the tables of a day's lost worth."""
 
 import json
 import unittest
@@ -32,12 +32,14 @@
         )
         self.assertAlmostEqual(found[0].worth, 0.2)
 
-    def test_moments_by_what_was_owed(self):
-        first, second = losses.list_moments(ROWS)
-        self.assertEqual((first.asked, first.refused, first.share), (100, 0.1, 0.75))
+    def test_loss_rows_count_owed_requests(self):
+        first, second = losses.list_loss_rows(ROWS)
+        self.assertEqual(
+            (first.owed_requests, first.refused, first.share), (100, 0.1, 0.75)
+        )
         self.assertEqual((second.name, second.failed), ("b", 0.1))
 
-    def test_grounds_of_refusals_and_attempts(self):
+    def test_reasons_of_refusals_and_attempts(self):
         refused = {
             "event": "refused",
             "at": "entry",
@@ -53,7 +55,7 @@
         )
         self.assertEqual(found[1].reason, "deadline: deadline")
 
-    def test_tables_name_all(self):
+    def test_tables_list_all_losses(self):
         text = losses.render_losses(REPORT)
         for word in ("worst class", "price: cloud calls", "second"):
             self.assertIn(word, text)
--- a/test/reports/test_services.py
+++ b/test/reports/test_services.py
@@ -1,4 +1,4 @@
-"""Tests of the table of what each service did in each second."""
+"""Tests of the table of the load of each service in each second."""
 
 import json
 import unittest
@@ -34,7 +34,7 @@
         ]
         first, second = services.add_up(services.read_loads(lines))
         self.assertEqual((first.second, first.daemons, first.slots), (7, 2, 8))
-        self.assertEqual((first.busy, first.ended, first.spent), (5.0, 40, 10.0))
+        self.assertEqual((first.busy, first.ended, first.slot_seconds), (5.0, 40, 10.0))
         self.assertEqual(first.levels, {"queue": 0.5})
         self.assertEqual(first.refused["entry", "browse", "admission-level"], 6)
         table = services.render_seconds((first, second))
--- a/test/reports/test_traffic.py
+++ b/test/reports/test_traffic.py
@@ -1,4 +1,4 @@
-"""Tests of the table of what daemons send each other."""
+"""Tests of the table of traffic between daemons."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class TrafficTest(unittest.TestCase):
-    def test_what_crosses_zones_most_stands_first(self):
+    def test_most_traffic_between_zones_comes_first(self):
         loads = [
             {"sent": [["reply", "other-zone", 2, 1000], ["ping", "same-zone", 9, 36]]},
             {"sent": [["levels", "other-zone", 90, 4500]]},
