--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -22,7 +22,7 @@
         self.assertEqual(self.directory.find_endpoints("s"), ())
 
     def test_address_reassigned_to_another_service(self):
-        """An instance is gone and its address is reassigned to another service."""
+        """An instance was removed and its address reassigned to another service."""
         self.directory.apply_report("h:1", ONE)
         self.directory.apply_record("h:1", ONE._replace(service="t"))
         self.assertEqual(self.directory.find_endpoints("s"), ())
--- a/test/test_hints.py
+++ b/test/test_hints.py
@@ -1,4 +1,4 @@
-"""Tests of the pause that a refused caller is asked to keep."""
+"""Tests of the pause requested from a refused caller before its retry."""
 
 import unittest
 
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -226,7 +226,7 @@
 
 class CutTest(unittest.TestCase):
     def test_regions_keep_each_other_and_reconnect_without_the_log(self):
-        """Two regions lose each other for ten minutes, and the log is down too.
+        """Two regions lose contact for ten minutes, and the log is down too.
 
         During the cut, calls should stay in the local region. Afterwards each
         region has to send requests to the other again without intervention.
--- a/test/test_router.py
+++ b/test/test_router.py
@@ -219,7 +219,7 @@
         self.assertEqual(Reason.NO_ENDPOINT, routed.answer.reason)
         self.assertGreater(routed.answer.retry_after, 0.0)
 
-    async def test_level_learnt_from_answers_refuses_at_the_entry(self):
+    async def test_level_learned_from_answers_refuses_at_the_entry(self):
         """A service further down sheds all requests below critical importance.
 
         Without the level, all hops above the refusing one would work on each request
--- a/whinwinch/admission.py
+++ b/whinwinch/admission.py
@@ -181,7 +181,7 @@
             number of members.
         capacity: Requests a second that can be served.
         corrections: Requests a second that the queue adds to the capacity (negative:
-            takes from it), by importance. For each importance, only waiting requests
+            reduces it), by importance. For each importance, only waiting requests
             that are served before its own count.
 
     Returns:
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -184,12 +184,12 @@
 
 
 def find_covered(data):
-    """Return the offset up to which a snapshot record covers, None for other records.
+    """Return the offset that a snapshot covers the stream to, None for other records.
 
     Args:
         data: Bytes of the record.
     """
-    # Most records are changes, so decoding is skipped by a cheap search for the key.
+    # Most records are changes; this cheap search for the key avoids decoding them.
     if b'"snapshot"' not in data[:64]:
         return None
     decoded = configuration.decode_record(data)
--- a/whinwinch/callgraph.py
+++ b/whinwinch/callgraph.py
@@ -6,7 +6,7 @@
 request from a call that its local backend server makes, and has to know which
 requests make which calls. Calls that carry no reference to their request state
 neither. Both are inferred from deadlines, because a call expires together with the
-request that made it, or earlier where the call has a shorter timeout of its own:
+request that made it, or earlier where the call has a shorter timeout itself:
 
 - A request that expires later than every request that runs here can't be a call. Its
   connection then belongs to a caller, and so does every other request on it.
@@ -19,8 +19,8 @@
 
 Deadlines also match by chance. A route therefore counts as an entry, or as the parent
 of another route, only after several observations that make up a minimum share of all
-of them. A route wrongly taken for a parent would be refused for the load of a service
-that its requests never reach.
+of them. A route wrongly inferred as a parent would be refused for the load of a
+service that its requests never reach.
 """
 
 import collections
@@ -235,7 +235,7 @@
 
     @property
     def entries(self):
-        """Names of the routes that callers are known to use."""
+        """Names of the routes that callers use, as observed or reported."""
         return frozenset(self._entries)
 
     def start(self, attempt, running, now):
@@ -314,26 +314,26 @@
         Returns:
             Whether it certainly comes from a caller.
         """
-        is_callers = self._is_caller_connection(connection)
-        if not is_callers and self._expires_last(deadline, now):
+        is_from_caller = self._is_caller_connection(connection)
+        if not is_from_caller and self._expires_last(deadline, now):
             self._record_caller_request(connection)
-            is_callers = True
+            is_from_caller = True
         if route in self._entries:
             return True
         if len(self._arrivals) < MAX_ROUTES:
             self._arrivals[route] += 1
-        if is_callers:
+        if is_from_caller:
             self._caller_arrivals[route] += 1
             if self._is_confirmed_entry(route):
                 self._entries.add(route)
-        return is_callers
+        return is_from_caller
 
     def is_entry(self, route):
-        """Return whether a route is known to be used by callers."""
+        """Return whether callers use a route, as observed or reported."""
         return route in self._entries
 
     def find_children(self, route):
-        """Return the names of the routes that requests of a route are known to call."""
+        """Return the names of the routes that a route is a confirmed parent of."""
         return frozenset(
             child
             for child, parents in self._parents.items()
@@ -355,7 +355,7 @@
         ):
             self._entries.add(route)
 
-    def begin_call(self, route, connection, deadline, now, is_own=False):
+    def begin_call(self, route, connection, deadline, now, is_to_local_service=False):
         """Return the `Parent` of a call, or None where no request can have made it.
 
         Args:
@@ -363,7 +363,8 @@
             connection: Number of the connection that it came on.
             deadline: The deadline that it states, by the loop's clock in seconds.
             now: Time of the loop's clock in seconds.
-            is_own: Whether it goes to the service of the local backend server.
+            is_to_local_service: Whether it goes to the service of the local backend
+                server.
         """
         matching = ()
         has_full_timeout = self._has_full_timeout(route, deadline - now)
@@ -377,7 +378,7 @@
             if parent is not None and previous is not None:
                 parent = _build_parent(parent.run, previous.importance)
         if parent is None:
-            if is_own:
+            if is_to_local_service:
                 self._record_unmatched(route)
             parent = self._infer_parent(route, deadline, now)
         if parent is not None:
@@ -537,12 +538,12 @@
         return pattern
 
     def _prefer_known_parents(self, possible, route):
-        """Return the runs whose route is known to call another, or all if none is."""
+        """Return the runs whose route is a confirmed parent, or all if none is."""
         parents = self._parents.get(route, _NO_PARENTS)
-        known = [
+        confirmed = [
             run for run in possible if _is_confirmed_parent(parents, run.request.route)
         ]
-        return known or possible
+        return confirmed or possible
 
     def _record_edge(self, parent, route, observations=1):
         """Record observations that requests of one route call another."""
@@ -566,9 +567,9 @@
 def _build_parent(run, importance):
     """Return a run as parent, after raising its importance to at least a given one.
 
-    A request whose first calls were sent with a higher importance than its own keeps
-    that importance. Otherwise its last calls would be shed and the work on the first
-    ones lost.
+    A request whose first calls were sent with a higher importance than it has itself
+    keeps that importance. Otherwise its last calls would be shed and the work on the
+    first ones lost.
     """
     run.importance = max(run.importance, importance)
     return Parent(run, run.importance, run.request.due)
@@ -583,8 +584,15 @@
     """
     importances = [int(other.request.importance) for other in possible]
     middle = math.ceil((min(importances) + max(importances)) / 2.0)
-    own = run.request.due
-    due = min((o.request.due for o in possible if o.request.due > now), default=own)
+    chosen_due = run.request.due
+    due = min(
+        (
+            candidate.request.due
+            for candidate in possible
+            if candidate.request.due > now
+        ),
+        default=chosen_due,
+    )
     return _build_parent(run, middle)._replace(importance=middle, due=due)
 
 
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -157,7 +157,7 @@
         self._publish_membership(self._loop.time())
 
     def withdraw(self):
-        """Drain the backend server: it gets no new requests but finishes its own."""
+        """Drain the backend server: it finishes its requests and gets no new ones."""
         if not self._registry.withdraw():
             return
         logging.info("backend withdrawn, draining")
@@ -200,9 +200,9 @@
         return service_claimer
 
     async def _flush_claims(self):
-        """Write the last ends of claimed requests to the log, for a bounded time.
+        """Write the pending ends of claimed requests to the log, for a bounded time.
 
-        Lost ones only make callers wait longer.
+        If they are lost, callers only wait longer.
         """
         for service_claimer in self._claimers.values():
             try:
--- a/whinwinch/daemon.py
+++ b/whinwinch/daemon.py
@@ -37,10 +37,14 @@
     access.check_peer_setting(settings.peer_token)
     parts = assembly.build_parts(settings, loop)
     gatekeeper = assembly.build_gatekeeper(parts)
-    talk = gossip.build_gossip(parts.members, parts.relay, tasks.build_send(parts))
+    gossip_state = gossip.build_gossip(
+        parts.members, parts.relay, tasks.build_send(parts)
+    )
     servers = entrances.build_http_servers(parts, gatekeeper)
-    parts.control.connect(gatekeeper.install, talk.wake.set, servers.public.begin_stop)
-    exchange = entrances.build_exchange(parts, gatekeeper, talk)
+    parts.control.connect(
+        gatekeeper.install, gossip_state.wake.set, servers.public.begin_stop
+    )
+    exchange = entrances.build_exchange(parts, gatekeeper, gossip_state)
     await exchange.listen(*settings.peer_address)
     await servers.public.listen(*settings.address)
     await servers.private.listen(*settings.backend_address)
@@ -56,7 +60,7 @@
         settings.peer_address,
     )
     try:
-        await tasks.run_tasks(parts, talk, exchange)
+        await tasks.run_tasks(parts, gossip_state, exchange)
     finally:
         await stop_servers(parts, servers, exchange, stop_admin)
     return 0
--- a/whinwinch/directory.py
+++ b/whinwinch/directory.py
@@ -1,4 +1,4 @@
-"""Directory of the mesh's backend servers, as one daemon knows them.
+"""Directory of the mesh's backend servers, as observed by one daemon.
 
 It has two sources: records in the log, from which a daemon learns of daemons that
 it has never connected to, and what daemons report over their connections, which is
--- a/whinwinch/entrances.py
+++ b/whinwinch/entrances.py
@@ -40,7 +40,7 @@
     private: http_server.Server
 
 
-def build_exchange(parts, gatekeeper, talk):
+def build_exchange(parts, gatekeeper, gossip_state):
     """Return the `exchange.Exchange` that serves calls and gossip of daemons."""
 
     async def serve_call(request):
@@ -55,7 +55,7 @@
             message = peer_pb2.GossipMessage.FromString(data)
         except DecodeError as error:
             raise ValueError(str(error)) from error
-        answer = await gossip.answer_gossip(talk, message)
+        answer = await gossip.answer_gossip(gossip_state, message)
         return answer.SerializeToString()
 
     hello = frames.Hello(
@@ -156,7 +156,7 @@
 
     async def route_root(incoming):
         now = parts.loop.time()
-        reason = find_obstacle(parts)
+        reason = find_refusal_reason(parts)
         if reason is not None:
             return refuse_entry(incoming, reason)
         parts.in_flight.start(Direction.ENTRY, now, now + (incoming.timeout or 0.0))
@@ -190,7 +190,7 @@
     return route_outgoing
 
 
-def find_obstacle(parts):
+def find_refusal_reason(parts):
     """Return the `Reason` to refuse root requests now, None to serve them.
 
     A daemon that has not read the configuration doesn't know which calls must not
--- a/whinwinch/explanations.py
+++ b/whinwinch/explanations.py
@@ -29,7 +29,7 @@
     "for a slot for the maximum time",
     Reason.LEAVING: "the backend server or its daemon was leaving",
     Reason.NOT_READY: "the daemon had not read a configuration yet",
-    Reason.NO_ENDPOINT: "no backend server of the service was known or left to try",
+    Reason.NO_ENDPOINT: "no known backend server of the service was left to try",
     Reason.NOT_SENT: "no connection could be established, so nothing was sent",
     Reason.BROKEN: "the connection broke, or the answer was incomplete, after the "
     "request had been sent",
--- a/whinwinch/fairness.py
+++ b/whinwinch/fairness.py
@@ -152,7 +152,7 @@
         Args:
             capacity: Requests a second that can be served.
             corrections: Requests a second that the queue adds to the capacity
-                (negative: takes from it), by importance.
+                (negative: reduces it), by importance.
             now: Time of the loop's clock in seconds.
         """
         names = list(self._hot)
--- a/whinwinch/fleet.py
+++ b/whinwinch/fleet.py
@@ -25,7 +25,7 @@
     "configuration_version": "version",
     "slots": "slots",
     "limit": "limit",
-    "in_service": "inside",
+    "in_service": "in_service",
     "waiting": "waiting",
     "ended_total": "ended",
 }
@@ -49,8 +49,8 @@
         leaving: Whether the backend server accepts no new work.
         version: Version of the configuration in force.
         slots: Slots of the backend server.
-        limit: Limit on requests inside the backend server.
-        inside: Requests inside the backend server.
+        limit: Limit on requests in service.
+        in_service: Requests that the backend server is processing.
         waiting: Requests waiting for a slot of the backend server.
         ended: Requests that have left the backend server since its start.
         level: Maximum admission level of all routes.
@@ -65,7 +65,7 @@
     version: int = 0
     slots: int = 0
     limit: int = 0
-    inside: int = 0
+    in_service: int = 0
     waiting: int = 0
     ended: int = 0
     level: float = 0.0
@@ -82,8 +82,8 @@
         zones: Number of availability zones.
         leaving: Number of backend servers that accept no new work.
         slots: Sum of slots.
-        limit: Sum of limits on requests inside the backend servers.
-        inside: Requests inside the backend servers.
+        limit: Sum of limits on requests in service.
+        in_service: Requests that the backend servers are processing.
         waiting: Requests waiting for a slot.
         ended: Requests per second that left the backend servers.
         level: Maximum admission level.
@@ -96,7 +96,7 @@
     leaving: int
     slots: int
     limit: int
-    inside: int
+    in_service: int
     waiting: int
     ended: float
     level: float
@@ -240,7 +240,7 @@
         sum(state.leaving for state in states),
         sum(state.slots for state in states),
         sum(state.limit for state in states),
-        sum(state.inside for state in states),
+        sum(state.in_service for state in states),
         sum(state.waiting for state in states),
         ended / seconds,
         max(state.level for state in states),
@@ -276,7 +276,7 @@
     return (
         f"{service.name or '(none)':<12} {service.daemons:>7} {service.zones:>5}"
         f" {service.leaving:>7} {service.slots:>6} {service.limit:>6}"
-        f" {service.inside:>6} {service.waiting:>7} {service.ended:>8.1f}"
+        f" {service.in_service:>6} {service.waiting:>7} {service.ended:>8.1f}"
         f" {service.level:>5.2f} {service.refused.total():>9.1f}  {reasons}"
     ).rstrip()
 
--- a/whinwinch/forwarding.py
+++ b/whinwinch/forwarding.py
@@ -1,7 +1,7 @@
 """Forwarding of one call, from its arrival at a daemon to its answer.
 
-The decisions on the admission level, the endpoint and retries are made by modules of
-their own; this one calls them in order.
+The decisions on the admission level, the endpoint and retries are made by
+separate modules; this one calls them in order.
 """
 
 import asyncio
@@ -61,8 +61,8 @@
 
         Args:
             request: `messages.Request`.
-            max_endpoints: Maximum number of endpoints whose backend servers may be
-                handed the request.
+            max_endpoints: Maximum number of endpoints whose backend servers may
+                receive the request.
         """
         tried, offered, tries, may_have_run = set(), 0, 0, False
         while True:
--- a/whinwinch/gate.py
+++ b/whinwinch/gate.py
@@ -1,7 +1,7 @@
 """Admission control, queueing and fairness for one backend server.
 
 A request that finds a free slot is admitted whatever the admission level: by the time
-it arrives here, the upstream services have already worked for it. The level is meant
+it arrives here, the upstream services have already worked on it. The level is meant
 for the entry daemons, and this gate refuses only what it has no capacity for. The queue
 between the two absorbs the random variation of arrivals.
 
@@ -408,8 +408,8 @@
     def _queue_or_refuse(self, request, lane, rank, now):
         max_waiting = lane.choose_max_length()
         level = lane.shares.level(request)
-        # Requests that the entry daemons would refuse, and that no backend server has
-        # worked for yet, may only use a free slot or the first half of the queue.
+        # Requests that the entry daemons would refuse, and on which no backend server
+        # has worked yet, may only use a free slot or the first half of the queue.
         is_root_request = not request.via
         if is_root_request and rank < level and len(lane.queue) >= max_waiting // 2:
             return self._refuse(request, lane, self._choose_reason(request, lane), now)
@@ -507,8 +507,8 @@
         excess = lane.in_service + len(lane.queue) - slots
         error = TARGET_QUEUE_SHARE * length - max(excess, -length / 2.0)
         # Without a queue or a level there is nothing to correct: an idle period would
-        # be mistaken for spare capacity, and the next surge would be admitted on its
-        # account.
+        # be mistaken for spare capacity, and too much of the next surge would be
+        # admitted.
         is_loaded = lane.queue or lane.shares.rest_level > 0.0
         lane.adjust_capacity_factor(
             error / length if is_loaded else 1.0 - lane.capacity_factor, elapsed
@@ -545,7 +545,7 @@
 
 
 def _choose_due_time(request, now):
-    """Return the time that orders a request among those of its importance.
+    """Return the time by which a request is ordered among those of its importance.
 
     An overdue request is worth less than one that can still be answered in time, so it
     is ordered by its deadline instead of its due time.
--- a/whinwinch/hints.py
+++ b/whinwinch/hints.py
@@ -7,8 +7,8 @@
 With a share `pressure` of the demand refused, demand is about ``1 / (1 - pressure)``
 times what can be served. A pause of that many times the base pause spreads the retries
 over the time that it takes to serve them. The base pause is of the order of one control
-period of the gate's levels. The maximum is short because a caller that waits on after
-the overload has ended is lost goodput.
+period of the gate's levels. The maximum is short because goodput is lost while a
+caller still waits after the overload has ended.
 """
 
 from . import messages
--- a/whinwinch/instance.py
+++ b/whinwinch/instance.py
@@ -2,7 +2,7 @@
 
 The state is held in memory only. After a restart the daemon reads the configuration
 and the records of the other daemons from the log, the backend server announces itself
-with its next heartbeat, and admission levels and latencies are learned again.
+with its next heartbeat, and admission levels and latencies are measured again.
 """
 
 import asyncio
@@ -43,8 +43,8 @@
 # that the relay passes on.
 RELAY_INTERVAL = 0.05
 # Seconds after the stop signal during which all requests are still served. Callers
-# need about two seconds to be routed to other daemons; each answer asks them to open
-# their next connection elsewhere.
+# need about two seconds to be routed to other daemons; each answer directs them to
+# open their next connection elsewhere.
 STOP_LINGER = 2.2
 # Seconds reserved for closing at the end of the time allowed for a stop.
 STOP_RESERVE = 0.4
@@ -192,7 +192,7 @@
         """Apply the logged record of the daemon at an address, None if withdrawn."""
         self.directory.apply_record(address, endpoint)
         if not self._is_up(address):
-            # The last report may be of an earlier start that was leaving.
+            # The last report may be from the daemon's previous run, which was leaving.
             self.directory.discard_report(address)
         if endpoint is None:
             self.peers.forget(address)
@@ -261,7 +261,7 @@
         events.write("stopped", events.Message(text))
 
     async def _wait_until(self, condition, until):
-        """Poll a condition until it holds or a time of the loop's clock is reached."""
+        """Poll a condition until it is true or the loop's clock reaches a time."""
         while self._loop.time() < until and not condition():
             await asyncio.sleep(STOP_POLL_INTERVAL)
 
@@ -301,8 +301,10 @@
         if self.graph.observe(call, connection, expires, now):
             return None
         backend = self.guard.backend
-        is_own = backend is not None and backend.service == request.service
-        return self.graph.begin_call(call, connection, expires, now, is_own)
+        is_to_local_service = backend is not None and backend.service == request.service
+        return self.graph.begin_call(
+            call, connection, expires, now, is_to_local_service
+        )
 
     def _inherit(self, call, parent):
         """Return a nested call with the attributes that it inherits from its parent."""
--- a/whinwinch/levels.py
+++ b/whinwinch/levels.py
@@ -5,7 +5,7 @@
 spend their slots on requests that can't complete.
 
 An answer carries the level of the called service and the highest level of the services
-that it calls in turn. A level is held only while answers keep confirming it, then
+that it calls in turn. A level stays in force only while answers confirm it, then
 decays to 0 by itself. The requests that are still admitted act as the probes that
 detect the end of the overload, and an outdated level can't keep work out.
 
@@ -21,10 +21,10 @@
 
 MIN_HOLD_SECONDS = 0.1
 MAX_HOLD_SECONDS = 1.0
-# A level is held for this many mean intervals between answers. When answers arrive at
-# random, one gap in fifty is longer than four times the mean.
+# A level stays constant for this many mean intervals between answers. When answers
+# arrive at random, one gap in fifty is longer than four times the mean.
 HOLD_INTERVALS = 4.0
-# Time in which a level decays to 0 once it is no longer held.
+# Time in which a level decays to 0 after that.
 DECAY_SECONDS = 0.5
 # A handful of endpoints give this many answers in a few rounds.
 AVERAGED_ANSWERS = 8
@@ -81,7 +81,7 @@
         return self._lowest[0][1] * self.decay_factor(now)
 
     def decay_factor(self, now):
-        """Return the factor of the decay, 1 while the level is held and then to 0."""
+        """Return the decay factor: 1 during the hold time, then falling to 0."""
         hold = min(
             max(HOLD_INTERVALS * self._interval, MIN_HOLD_SECONDS), MAX_HOLD_SECONDS
         )
@@ -132,7 +132,7 @@
             service: The service to be called.
             call: Name of the call, or "".
             now: Time of the loop's clock in seconds.
-            request: The request, for the level of its own caller and path.
+            request: The request, for the level of its caller and path.
 
         Returns:
             A level from 0, which admits all requests, to 4, to be compared with
@@ -169,8 +169,8 @@
         if track is not None and track.decay_factor(now) > 0.0:
             return track.mean(now)
         # No answer to this caller and path together is recent. One of them may be hot
-        # and account for most answers, so the lowest level counts: refused for a hot
-        # caller's level, another caller would never learn its own.
+        # and account for most answers, so the lowest level counts: a caller refused by
+        # the level of a hot one would never receive answers with its own level.
         tracks = [self._tracks[key] for key in keys[1:-1] if key in self._tracks]
         lowest_levels = [
             track.lowest(now) for track in tracks if track.decay_factor(now) > 0.0
--- a/whinwinch/memberplan.py
+++ b/whinwinch/memberplan.py
@@ -11,8 +11,7 @@
 
     Attributes:
         probe_interval: Time between two probes. At one a second a dead member is
-            detected in about the time that callers need to notice it
-            themselves.
+            detected in about the time in which callers notice it themselves.
         near_partners: Number of partners in this daemon's availability zone.
         region_partners: Number of partners in other zones of its region.
         far_partners: Number of partners in other regions. Eight partners in
@@ -21,7 +20,7 @@
         rotation_interval: Mean time between two replacements of a partner. The
             chance that nobody probes a given member is e^-8; rotation ends that
             state within minutes.
-        helpers: Number of members that are asked to repeat a failed probe.
+        helpers: Number of helpers, members that repeat a failed probe.
         suspect_after_misses: Consecutive failed probes before a member is
             suspected when the region has no other member to confirm it, and
             before a contact from the log is dropped.
@@ -32,7 +31,7 @@
             any rumour is in transit, so that a stale one can't bring the member
             back.
         region_ttl: Time for which the members of a silent region are kept.
-            Regions can lose each other for minutes.
+            Regions can lose contact with each other for minutes.
         unreachable_after_misses: Members of a region that have failed a probe,
             with no answer from that region since, before its endpoints are
             excluded.
@@ -45,7 +44,7 @@
         page_rate: Bytes of member list pages per second sent to daemons that
             have just started.
         page_burst: Bytes of member list pages that may be sent at once. A page
-            is sent whole or refused, and a refused daemon asks another one.
+            is sent whole or refused, and a refused daemon turns to another one.
         page_members: Number of members at which a page is full.
         max_contacts: Maximum number of daemons remembered from the log as
             contacts for reaching the mesh.
@@ -132,7 +131,7 @@
     Attributes:
         daemon: Identifier of the daemon to probe.
         address: Its address.
-        helpers: Endpoints of the members that are asked to probe it.
+        helpers: Endpoints of the members that probe it on request.
     """
 
     daemon: str
--- a/whinwinch/membership.py
+++ b/whinwinch/membership.py
@@ -1,7 +1,8 @@
 """Gossip membership of the mesh, as a state machine that does no I/O.
 
 Load pattern: thousands of daemons, of which a few change per minute and now and
-then five hundred at once, and regions that lose each other for minutes.
+then five hundred at once, and regions that lose contact with each other for
+minutes.
 
 In each interval, each daemon probes one partner and sends recent membership
 updates (rumours) along. The partners are a handful of members, most of them in
@@ -10,14 +11,14 @@
 for a daemon doesn't depend on the size of the mesh. A daemon that watched all of
 4,500 members would send and answer 9,000 probes per interval.
 
-A failed probe is repeated by helpers. A member is suspected only when a helper
-confirms that it doesn't answer. The suspicion spreads as a rumour, which the
-member can refute by raising its version. Without helpers, one broken path or one
-slow daemon would evict healthy members.
+A failed probe is repeated by other members, the helpers. A member is suspected
+only when a helper confirms that it doesn't answer. The suspicion spreads as a
+rumour, which the member can refute by raising its version. Without helpers, one
+broken path or one slow daemon would evict healthy members.
 
-A member is evicted only by daemons of its own region. When regions lose each
-other, each keeps the members of the other, excludes their endpoints as long as it
-has others, and continues to probe them, so that the mesh recovers without
+A member is evicted only by daemons of its own region. When regions lose contact
+with each other, each keeps the members of the other, excludes their endpoints as
+long as it has others, and continues to probe them, so that the mesh recovers without
 intervention. Likewise for a part of a region that was cut off: members that are
 gone without having left are still probed occasionally.
 
@@ -44,7 +45,7 @@
 # Window in seconds over which joins are counted, and the maximum count.
 JOIN_WINDOW = 60.0
 MAX_COUNTED_JOINS = 1000
-# With more rumours than this pending, digests aren't answered: about as many as
+# With more rumours than this pending, digests aren't answered: receiver_id as many as
 # fit into one message.
 MAX_RUMOURS_FOR_COMPARISON = 16
 # A planning call this many intervals after the previous one means that this
@@ -53,7 +54,7 @@
 
 
 class Membership:
-    """The members of the mesh as this daemon knows them; used by a single task.
+    """The members of the mesh as observed by this daemon; used by a single task.
 
     Only `find_endpoints` may be called from other threads.
 
@@ -225,7 +226,7 @@
         """Remove a contact that has left or was replaced by another daemon."""
         self._contacts.pop(daemon, None)
 
-    # Results of the instructions.
+    # Results of planned instructions.
 
     def record_alive(self, daemon, now):
         """Record that a daemon answered a probe or sent a message."""
@@ -265,8 +266,8 @@
         """Record that another daemon answers at this daemon's address.
 
         The instance was restarted before its absence was detected. Unless its
-        former identifier is evicted at once, calls go to a daemon of another
-        service until the suspicion times out.
+        former identifier is evicted at once, calls to it reach a daemon of
+        another service until the suspicion times out.
         """
         self._contacts.pop(daemon, None)
         member = self._table.get(daemon)
@@ -274,7 +275,7 @@
             self._apply(member._replace(state=State.GONE), now)
         self._evicted.discard(daemon)
 
-    # Instructions.
+    # Planning of instructions.
 
     def plan(self, now):
         """Choose the messages to send in this interval.
@@ -307,20 +308,20 @@
         chosen = self._partners.sample(count)
         return tuple(self._build_probe(endpoint, now) for endpoint in chosen)
 
-    def select_rumours(self, now, about=""):
+    def select_rumours(self, now, receiver_id=""):
         """Choose the members to send along with a message and count them as sent.
 
         Args:
             now: Time in seconds.
-            about: Identifier of the receiver. If it is suspected or gone here,
-                that goes first, since only the receiver can refute it.
+            receiver_id: Identifier of the receiver. If it is suspected or gone here,
+                its state is sent first, since only the receiver can refute it.
 
         Returns:
             A tuple of `Member`, within the allowed bytes.
         """
         first = []
-        receiver = self._table.get(about)
-        if about and (receiver is None or receiver.version == 0):
+        receiver = self._table.get(receiver_id)
+        if receiver_id and (receiver is None or receiver.version == 0):
             # A daemon unknown here is unlikely to have this daemon in its table.
             first.append(self._local)
         elif receiver and receiver.state in (State.SUSPECT, State.GONE):
@@ -338,8 +339,9 @@
             A tuple of `Member`, within the allowed bytes.
         """
         if len(self._rumours) > MAX_RUMOURS_FOR_COMPARISON:
-            # When a whole zone dies, nearly all digests differ for a while, and
-            # sending whole buckets of unchanged members would crowd out rumours.
+            # When a whole zone fails, nearly all digests differ for a while, and
+            # whole buckets of unchanged members would take the bandwidth of
+            # rumours.
             return ()
         local = self._table.find_digests(digests.first, len(digests.values))
         differing = []
@@ -364,7 +366,7 @@
         """
         if self._next_bucket < membertable.BUCKETS:
             # A newcomer that accepted another newcomer's partial list as complete
-            # would find no endpoints for most services. They may learn of each
+            # would find no endpoints for most services. So they only add each
             # other, and continue to look for a daemon that has the whole list.
             return MemberPage((self._local,), bucket)
         if self._page_budget.find_available(now) <= 0:
@@ -431,9 +433,9 @@
     def _refute(self, member):
         """Raise the local version above a report that this daemon is down.
 
-        After a pause or a network cut the others believe this daemon dead.
-        Unless it raised its version, its endpoint would receive no requests
-        although it can serve them.
+        After a pause or a network cut the others consider this daemon dead. If it
+        didn't raise its version, its endpoint would receive no requests although
+        it can serve them.
         """
         reported_down = member.state in (State.SUSPECT, State.GONE)
         if self._local.state is State.GONE:
@@ -509,7 +511,7 @@
     def _forget_region(self, region):
         """Forget the members of a region, except a few contacts for probing it.
 
-        Until one of them answers, updates about the region are ignored. Daemons
+        Until one of them answers, updates receiver_id the region are ignored. Daemons
         forget it at different moments, and would otherwise reintroduce it to
         each other forever.
         """
@@ -540,8 +542,8 @@
         """Clear the recorded failures of other daemons after a local pause.
 
         After a pause every answer is late and every suspicion has timed out at
-        once. On resuming, this daemon would evict whatever members it suspected,
-        although they had no chance to refute it.
+        once. On resuming, this daemon would evict all members that it suspected,
+        although they had no chance to refute the suspicion.
         """
         last, self._last_plan = self._last_plan, now
         if (
@@ -611,10 +613,10 @@
         return instructions
 
     def _is_alone_with(self, daemon):
-        """Return whether this daemon and another are the only ones of the region.
+        """Return whether this daemon and another are the only ones of their region.
 
         When there are others and none of them answers, it is more likely that
-        this daemon is cut off than that all of them died at once.
+        this daemon is cut off than that all of them failed at once.
         """
         others = [
             member
--- a/whinwinch/membertable.py
+++ b/whinwinch/membertable.py
@@ -1,4 +1,4 @@
-"""Table of the members of the mesh, as one daemon knows them.
+"""Table of the members of the mesh, as observed by one daemon.
 
 Load pattern: 4,500 members change a few times a minute, while every call looks up
 the endpoints of one service. So the table is indexed by service and keeps the
--- a/whinwinch/partners.py
+++ b/whinwinch/partners.py
@@ -90,7 +90,7 @@
         return None
 
     def choose_helpers(self, daemon, unresponsive):
-        """Return the endpoints of members that are asked to repeat a failed probe.
+        """Return the endpoints of helpers, members that repeat a failed probe.
 
         Args:
             daemon: Identifier of the daemon whose probe failed.
--- a/whinwinch/placement.py
+++ b/whinwinch/placement.py
@@ -41,8 +41,8 @@
 # Weight of any other answer in the slowness of its endpoint.
 SLOWNESS_WEIGHT = 0.2
 # Four failures in a row set an endpoint aside, a single random loss doesn't. With a
-# higher weight for the first answers, one connection reset among them would keep an
-# endpoint from work for seconds.
+# higher weight for the first answers, one connection reset among them would leave an
+# endpoint without work for seconds.
 FAILURE_WEIGHT = 0.1
 # An endpoint that is set aside answers hardly any calls, so its share of failures
 # decays with time.
@@ -332,7 +332,7 @@
         return record
 
     def _prune(self, now):
-        """Drop the records of daemons that haven't been used for a long time."""
+        """Drop the records of daemons unused for long, which have probably left."""
         if now - self._last_prune < UNUSED_RECORD_SECONDS:
             return
         self._last_prune = now
--- a/whinwinch/repeats.py
+++ b/whinwinch/repeats.py
@@ -3,13 +3,13 @@
 A repeat is an attempt of a request of which an earlier attempt was already handed to
 a backend server; the first attempt of a request is not a repeat.
 
-Load pattern: a service slows down, loses answers or turns down part of its work, and
+Load pattern: a service slows down, loses answers or rejects part of its work, and
 every daemon that called it retries. All daemons together must not cause more repeats
 than a share of the requests. Otherwise a service that lacks capacity receives all of
 its load twice and does not recover.
 
-Every attempt passes the gatekeeper beside its backend server and says whether it is a
-repeat. So each gatekeeper keeps a budget of its own: a share of the requests it
+Every attempt passes the gatekeeper beside its backend server and states whether it is
+a repeat. So each gatekeeper keeps its own budget: a share of the requests it
 received within a window, plus its part of the slack that operators allow. The sum over
 all gatekeepers stays within the bound without any agreement between them.
 
--- a/whinwinch/reportedlevels.py
+++ b/whinwinch/reportedlevels.py
@@ -82,7 +82,7 @@
         return _sum_reports(now, self._daemon_reports)
 
     def sum_all(self, now):
-        """Return the `RouteShedding` tuples of all daemons that a relay knows of."""
+        """Return the `RouteShedding` tuples of all daemons that report to relays."""
         return _sum_reports(now, self._daemon_reports, self._relay_reports)
 
     def level(self, route, endpoints, now):
--- a/whinwinch/resources.py
+++ b/whinwinch/resources.py
@@ -40,7 +40,7 @@
 MAX_SEGMENTS = 32
 # A resource must fit into one log record and one message between daemons.
 MAX_RESOURCE_BYTES = 64 * 1024
-# Bounds the length of an error response; nobody fixes more findings at once.
+# Bounds the length of an error response; more findings are rarely fixed at once.
 MAX_FINDINGS = 100
 
 # Retries per root request. One retry makes up for one lost attempt, so three let
--- a/whinwinch/retries.py
+++ b/whinwinch/retries.py
@@ -194,7 +194,7 @@
     """Input of a grant policy.
 
     Attributes:
-        remaining: Retries left in the budget that the grant is taken from.
+        remaining: Retries left in the budget that pays for the grant.
         concurrent_share: Share of this backend server's calls that are made while
             another call of the same request is in flight.
     """
@@ -261,7 +261,7 @@
     """Retries granted to a child attempt.
 
     Attributes:
-        holder: Attempt whose budget the retries were taken from.
+        holder: Attempt whose budget paid for the retries.
         retries: Number of retries granted.
     """
 
--- a/whinwinch/router.py
+++ b/whinwinch/router.py
@@ -215,7 +215,7 @@
     def _close_root(self, request, budget_holder):
         """Close the budget of a root request and return the unused retries.
 
-        A nested call has no budget of its own and returns 0.
+        A nested call has no separate budget and returns 0.
         """
         if budget_holder != request.attempt:
             return 0
--- a/whinwinch/rumours.py
+++ b/whinwinch/rumours.py
@@ -2,7 +2,7 @@
 
 A rumour is an update of a member that not everyone is expected to have received
 yet. Load pattern: five hundred members change at once, when a whole zone restarts
-or dies. Each change has to reach every daemon, but putting all of them into each
+or fails. Each change has to reach every daemon, but putting all of them into each
 message would take many times the bytes that control traffic may use. So the size of
 a message and the bytes per second are limited, and the rumours that have been sent
 least often go first.
--- a/whinwinch/running.py
+++ b/whinwinch/running.py
@@ -33,7 +33,7 @@
         self._nested_calls = {}
 
     def start(self, request):
-        """Record that an attempt is handed to the backend server."""
+        """Record that an attempt is passed to the backend server."""
         self._requests[request.attempt] = request
         self._nested_calls[request.attempt] = NestedCalls()
 
--- a/whinwinch/sending.py
+++ b/whinwinch/sending.py
@@ -18,8 +18,8 @@
         answer = await send(endpoint, attempt)
     finally:
         if answer is None:
-            # The attempt was cancelled, which says nothing about the endpoint, but
-            # it must no longer count as in flight there.
+            # The attempt was cancelled, so the endpoint's latency isn't known, but it
+            # must no longer count as in flight there.
             placement.withdraw(endpoint.daemon, attempt.attempt)
     ended = clock()
     placement.observe(endpoint.daemon, answer, ended - started, ended, attempt)
--- a/whinwinch/subsets.py
+++ b/whinwinch/subsets.py
@@ -3,7 +3,7 @@
 Load pattern: hundreds of daemons call a service of dozens of endpoints. If each daemon
 uses each endpoint, connections, heartbeats and the messages sent over them grow with
 the square of the number of daemons, and a daemon calls an endpoint so rarely that it
-learns nothing about it.
+can't judge its latency and failures.
 
 So each daemon uses a subset of the endpoints of a service, which it computes without
 coordination. The daemons of an availability zone are put in one order and its
@@ -77,11 +77,11 @@
 
     def list_preferred(self, service):
         """Return the endpoints of a service, the preferred ones first."""
-        everyone = self._directory.all_endpoints
-        if self._members is not everyone:
-            self._members = everyone
+        all_endpoints = self._directory.all_endpoints
+        if self._members is not all_endpoints:
+            self._members = all_endpoints
             self._orders = {}
-            self._position = find_position(self._own_address, self._zone, everyone)
+            self._position = find_position(self._own_address, self._zone, all_endpoints)
         order = self._orders.get(service)
         if order is None:
             endpoints = self._directory.find_endpoints(service)
@@ -118,18 +118,18 @@
     return Usable(by_reach[Reachability.UP] or untried or due, (*untried, *due))
 
 
-def find_position(own_address, zone, everyone):
+def find_position(own_address, zone, all_endpoints):
     """Return the position of a daemon in its zone's order, from 0 to below 1.
 
     Args:
         own_address: Address of the daemon.
         zone: Its availability zone.
-        everyone: `Endpoint` tuples of all known daemons.
+        all_endpoints: `Endpoint` tuples of all known daemons.
     """
     weight = _hash_address("", own_address)
     weights = {
         e.address: _hash_address("", e.address)
-        for e in everyone
+        for e in all_endpoints
         if e.zone == zone and e.address != own_address
     }
     before = sum(other < weight for other in weights.values())
--- a/whinwinch/tasks.py
+++ b/whinwinch/tasks.py
@@ -30,13 +30,13 @@
     return send
 
 
-async def run_tasks(parts, talk, exchange):
+async def run_tasks(parts, gossip_state, exchange):
     """Run the background tasks until the daemon has stopped or one of them ends."""
     tasks = [
         asyncio.create_task(task)
         for task in (
-            gossip.run_gossip(talk),
-            follow_configuration(parts, talk),
+            gossip.run_gossip(gossip_state),
+            follow_configuration(parts, gossip_state),
             write_snapshots(parts),
             parts.peers.check_periodically(),
             exchange.clean_up_periodically(),
@@ -46,20 +46,20 @@
     control = asyncio.create_task(parts.control.run())
     done, _ = await asyncio.wait([*tasks, control], return_when=asyncio.FIRST_COMPLETED)
     if parts.control.phase is Phase.STOPPED:
-        await announce_leave(parts, talk)
+        await announce_leave(parts, gossip_state)
     for task in (*tasks, control):
         task.cancel()
     for task in done:
         task.result()
 
 
-async def announce_leave(parts, talk):
+async def announce_leave(parts, gossip_state):
     """Announce to peers and in the log that this daemon leaves, for a bounded time.
 
     Without the announcement, peers would detect it by their probes some seconds later.
     """
     parts.members.leave(parts.loop.time())
-    talk.wake.set()
+    gossip_state.wake.set()
     _, append = build_stream(parts, streams.MEMBERS)
     with contextlib.suppress(TimeoutError, LogUnavailable):
         async with asyncio.timeout(LEAVE_TIMEOUT):
@@ -79,11 +79,11 @@
     return read, append
 
 
-async def follow_configuration(parts, talk):
+async def follow_configuration(parts, gossip_state):
     """Read the configuration from the log while this daemon is a reader."""
     read, _ = build_stream(parts, streams.CONFIGURATION)
     await follower.run_follower(
-        read, parts.relay, lambda now: is_reader(parts, now), talk.wake
+        read, parts.relay, lambda now: is_reader(parts, now), gossip_state.wake
     )
 
 
--- a/whinwinch/waiting.py
+++ b/whinwinch/waiting.py
@@ -172,8 +172,9 @@
     level takes effect. Otherwise the variation itself is refused after the upstream
     services have done their work. Arrivals and departures both vary, so the standard
     deviation is ``sqrt(2 * rate * feedback_delay)``; three of them leave about one
-    refusal in a thousand. But requests in a queue longer than callers can wait are
-    served for nothing: at its usual half length, the wait should be half the slack.
+    refusal in a thousand. But in a queue longer than callers can wait, requests are
+    served after their callers have given up: at its usual half length, the wait should
+    be half the slack.
 
     Args:
         rate: Requests a second that the slots can serve.
