--- a/test/backends/test_gatekeeper.py
+++ b/test/backends/test_gatekeeper.py
@@ -72,7 +72,7 @@
         self.gatekeeper = gatekeeper.Gatekeeper(
             clock=lambda: start_time + self.now,
             claim=self.claim,
-            note_end=lambda request, answer: self.ended.append(answer.outcome),
+            record_end=lambda request, answer: self.ended.append(answer.outcome),
             ledger=self.ledger,
             levels=self.levels,
             running=self.running,
--- a/whinwinch/assembly.py
+++ b/whinwinch/assembly.py
@@ -201,7 +201,7 @@
     return Gatekeeper(
         clock=parts.loop.time,
         claim=parts.control.claim,
-        note_end=parts.control.note_end,
+        record_end=parts.control.record_end,
         ledger=parts.ledger,
         levels=parts.levels,
         running=parts.running,
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -22,7 +22,7 @@
         clock: Function that returns the loop's time in seconds.
         claim: Coroutine function from a `Request` to a `claims.ClaimVerdict`. It
             waits for the log's verdict, at most until the request's deadline.
-        note_end: Function of a `Request` and its `Answer` that records in the log
+        record_end: Function of a `Request` and its `Answer` that records in the log
             how claimed work ended.
         ledger: `retries.Ledger` of the running attempts' retry budgets.
         levels: `levels.LearnedLevels` of the daemon.
@@ -40,7 +40,7 @@
         self,
         clock,
         claim,
-        note_end,
+        record_end,
         ledger,
         levels,
         running,
@@ -51,7 +51,7 @@
     ):
         self._clock = clock
         self._claim = claim
-        self._note_end = note_end
+        self._record_end = record_end
         self._ledger = ledger
         self._levels = levels
         self._running = running
@@ -191,7 +191,7 @@
         if verdict.verdict is not claims.Verdict.WON:
             return _answer_claim(request, verdict)
         answer = await self._run(request)
-        self._note_end(request, answer)
+        self._record_end(request, answer)
         return answer
 
     async def _claim_within_share(self, request):
--- a/whinwinch/control.py
+++ b/whinwinch/control.py
@@ -98,7 +98,7 @@
         self._count_claim(verdict.verdict.value)
         return verdict
 
-    def note_end(self, request, answer):
+    def record_end(self, request, answer):
         """Record the end of a claimed request in the log."""
         service_claimer = self._find_claimer(request.service)
         if answer.outcome is messages.Outcome.NOT_RUN:
