--- a/test/logservice/test_keyed.py
+++ b/test/logservice/test_keyed.py
@@ -94,12 +94,12 @@
 class FollowingTest(unittest.TestCase):
     def setUp(self):
         self.copy = keyed.TopicCopy(lambda records: None)
-        self.following = keyed.FollowedTopic(self.copy, MAX_UNCONFIRMED_AGE)
+        self.followed = keyed.FollowedTopic(self.copy, MAX_UNCONFIRMED_AGE)
         self.copy.apply_listing((OLD,), 4)
-        self.following.record_read(4, 0.0)
+        self.followed.record_read(4, 0.0)
 
     def must_read(self, now):
-        return self.following.must_read(False, now)
+        return self.followed.must_read(False, now)
 
     def test_copy_that_was_never_filled_is_read(self):
         unread = keyed.FollowedTopic(
@@ -120,14 +120,14 @@
         self.assertEqual(asked.count(True), 1)
         # The peer that was asked may hang.
         self.assertTrue(unread.should_request_all(keyed.REQUEST_TIMEOUT))
-        self.assertFalse(self.following.should_request_all(9.0))
+        self.assertFalse(self.followed.should_request_all(9.0))
 
     def test_reader_reads_regardless_of_reports_from_peers(self):
-        self.assertTrue(self.following.must_read(True, 0.0))
+        self.assertTrue(self.followed.must_read(True, 0.0))
 
     def test_confirmations_from_peers_make_a_read_unnecessary(self):
         for step in range(1, 10):
-            self.assertFalse(self.following.apply_end(4, float(step)))
+            self.assertFalse(self.followed.apply_end(4, float(step)))
             self.assertFalse(self.must_read(step + 0.9))
 
     def test_peers_that_stop_reporting(self):
@@ -136,18 +136,18 @@
         The reader becomes unreachable or dies; a change must still take effect here
         within two seconds.
         """
-        self.following.apply_end(4, 1.0)
+        self.followed.apply_end(4, 1.0)
         self.assertFalse(self.must_read(1.0 + MAX_UNCONFIRMED_AGE))
         self.assertTrue(self.must_read(1.01 + MAX_UNCONFIRMED_AGE))
 
     def test_records_up_to_a_newer_end_are_requested_once(self):
-        self.assertTrue(self.following.apply_end(8, 1.0))
-        self.assertFalse(self.following.apply_end(8, 1.1))
-        self.assertTrue(self.following.apply_end(8, 1.0 + 2 * keyed.REQUEST_TIMEOUT))
+        self.assertTrue(self.followed.apply_end(8, 1.0))
+        self.assertFalse(self.followed.apply_end(8, 1.1))
+        self.assertTrue(self.followed.apply_end(8, 1.0 + 2 * keyed.REQUEST_TIMEOUT))
 
     def test_received_records_confirm_the_copy(self):
-        self.following.apply_end(8, 1.0)
-        self.following.apply_records((NEW,), 4, 8)
+        self.followed.apply_end(8, 1.0)
+        self.followed.apply_records((NEW,), 4, 8)
         self.assertEqual(self.copy.end, 8)
         self.assertFalse(self.must_read(1.0 + MAX_UNCONFIRMED_AGE))
 
@@ -156,7 +156,7 @@
 
         A peer reports a change and dies before it sends the records.
         """
-        self.following.apply_end(8, 1.0)
+        self.followed.apply_end(8, 1.0)
         self.assertTrue(self.must_read(MAX_UNCONFIRMED_AGE + 0.01))
 
     def test_older_end_confirms_nothing(self):
@@ -165,7 +165,7 @@
         A store answers with the state of some seconds ago, and a peer reports that
         end. The copy would count as current while a change is missing.
         """
-        self.assertFalse(self.following.apply_end(2, 1.0))
+        self.assertFalse(self.followed.apply_end(2, 1.0))
         self.assertEqual(self.copy.end, 4)
         self.assertTrue(self.must_read(MAX_UNCONFIRMED_AGE + 0.01))
 
@@ -175,11 +175,11 @@
         The answer contains an outdated end, which would otherwise be reported to
         peers.
         """
-        self.following.apply_end(8, 1.0)
-        self.following.apply_records((NEW,), 4, 8)
-        self.assertFalse(self.following.record_read(4, 2.0))
+        self.followed.apply_end(8, 1.0)
+        self.followed.apply_records((NEW,), 4, 8)
+        self.assertFalse(self.followed.record_read(4, 2.0))
         self.assertTrue(self.must_read(1.01 + MAX_UNCONFIRMED_AGE))
-        self.assertTrue(self.following.record_read(8, 3.0))
+        self.assertTrue(self.followed.record_read(8, 3.0))
         self.assertFalse(self.must_read(2.9 + MAX_UNCONFIRMED_AGE))
 
     def test_records_confirm_only_as_of_the_report_of_their_end(self):
@@ -188,9 +188,9 @@
         One peer reports a change, then another peer that is behind reports its end.
         The records of the change confirm the copy as of the first report only.
         """
-        self.following.apply_end(8, 1.0)
-        self.following.apply_end(6, 2.0)
-        self.following.apply_records((NEW,), 4, 8)
+        self.followed.apply_end(8, 1.0)
+        self.followed.apply_end(6, 2.0)
+        self.followed.apply_records((NEW,), 4, 8)
         self.assertTrue(self.must_read(1.01 + MAX_UNCONFIRMED_AGE))
 
 
--- a/test/platform/test_followers.py
+++ b/test/platform/test_followers.py
@@ -53,14 +53,14 @@
         self.store = ScriptedStore(*answers)
         events.install(self.log)
         self.addCleanup(events.install, events.NullLog())
-        following = keyed.FollowedTopic(keyed.TopicCopy(self.applied.extend), 1.0)
+        followed = keyed.FollowedTopic(keyed.TopicCopy(self.applied.extend), 1.0)
         task = asyncio.create_task(
             followers.follow_topic(
                 self.store,
                 "keyed.op",
-                following,
+                followed,
                 lambda: True,
-                lambda topic, end, now: following.record_read(end, now),
+                lambda topic, end, now: followed.record_read(end, now),
             )
         )
         async with asyncio.timeout(5.0):
--- a/whinwinch/backends/gatekeeper.py
+++ b/whinwinch/backends/gatekeeper.py
@@ -139,7 +139,7 @@
         return answer
 
     def _find_refusal_reason(self, request, now):
-        """Return the `Reason` to refuse a request without asking the gate, or None."""
+        """Return the `Reason` to refuse a request before the gate decides, or None."""
         if not self._accepts_work():
             return Reason.LEAVING
         if self._client is None or request.service != self.service:
--- a/whinwinch/backends/guard.py
+++ b/whinwinch/backends/guard.py
@@ -21,7 +21,7 @@
 from . import slots
 
 # Seconds after the deadline that an answer is still accepted. The backend server
-# enforces the deadline itself, and its answer says whether the request ran; a
+# enforces the deadline itself, and its answer states whether the request ran; a
 # timeout here can't.
 ANSWER_GRACE = 0.05
 # Seconds after which a caller may retry an attempt that was refused because there
--- a/whinwinch/daemons/frames.py
+++ b/whinwinch/daemons/frames.py
@@ -306,8 +306,8 @@
     return callgraph.Topology(tuple(map(_check_text, entries)), tuple(edges))
 
 
-def _decode_route_shedding(route, cuts):
-    shed_shares = tuple(_check_non_negative(cut) for cut in cuts)
+def _decode_route_shedding(route, values):
+    shed_shares = tuple(_check_non_negative(value) for value in values)
     if len(shed_shares) != len(reportedlevels.NO_SHED_SHARES):
         raise ValueError("expected one shed share for each importance")
     return reportedlevels.RouteShedding(_check_text(route), shed_shares)
--- a/whinwinch/daemons/gossip.py
+++ b/whinwinch/daemons/gossip.py
@@ -20,7 +20,7 @@
 # Seconds until a probe counts as unanswered. A round trip between regions takes up to
 # 0.3 s; the rest is for a busy daemon.
 PROBE_TIMEOUT = 1.0
-# Seconds to wait for a helper, which makes a probe of its own before it answers.
+# Seconds to wait for a helper, which probes the daemon itself before it answers.
 INDIRECT_PROBE_TIMEOUT = 2 * PROBE_TIMEOUT
 # Number of daemons that a configuration change is pushed to. With four, a push reaches
 # all of 4,500 daemons, each missed with a probability of e^-4; probes reach the rest.
@@ -185,15 +185,17 @@
     )
 
 
-def _apply_message(gossip, news):
+def _apply_message(gossip, message):
     """Apply the members and records of a message or an answer."""
     now = _read_clock()
-    changes = gossip.members.merge(unpack_members(news.members), now)
+    changes = gossip.members.merge(unpack_members(message.members), now)
     if changes:
         gossip.notify(changes)
-    if gossip.relay.apply_records(_unpack_records(news.records)):
+    if gossip.relay.apply_records(_unpack_records(message.records)):
         gossip.wake.set()
-    gossip.relay.record_log_end(news.configuration_offset, news.configuration_age, now)
+    gossip.relay.record_log_end(
+        message.configuration_offset, message.configuration_age, now
+    )
 
 
 def _schedule_catch_up(gossip, daemon):
--- a/whinwinch/daemons/links.py
+++ b/whinwinch/daemons/links.py
@@ -34,6 +34,7 @@
 # Seconds to wait for a Pong. A daemon that is busy for this long is no better than an
 # unreachable one.
 PONG_TIMEOUT = 0.8
+# Seconds between two checks of all links and pending calls.
 CHECK_INTERVAL = 0.1
 # Seconds without use after which a connection is closed. Gossip partners are contacted
 # every second and change every ten seconds, and an idle link costs pings. For an
@@ -341,9 +342,9 @@
         event = events.Dependency(name, state, problem, **more)
         events.sample("dependency", event)
 
-    def _fail_pending_calls(self, why):
+    def _fail_pending_calls(self, problem):
         if self._pending:
-            self._log("lost", f"calls failed: {why}", calls=len(self._pending))
+            self._log("lost", f"calls failed: {problem}", calls=len(self._pending))
         for pending in self._pending.values():
             if not pending.future.done():
                 pending.future.set_result(
--- a/whinwinch/daemons/topics.py
+++ b/whinwinch/daemons/topics.py
@@ -18,15 +18,15 @@
 
     def __init__(self, broadcast):
         self._broadcast = broadcast
-        self._followings = {}
+        self._followed_topics = {}
 
-    def add(self, topic, following):
+    def add(self, topic, followed):
         """Add a topic with its `keyed.FollowedTopic`."""
-        self._followings[topic] = following
+        self._followed_topics[topic] = followed
 
     def record_read(self, topic, end, now):
         """Record that a topic was read from the log up to an end, and report it."""
-        if self._followings[topic].record_read(end, now):
+        if self._followed_topics[topic].record_read(end, now):
             self._broadcast(frames.TopicEnd(topic, end))
 
     def request_missing(self, reply, now):
@@ -35,8 +35,8 @@
         A daemon that restarts while the log can't be read gets its configuration
         from its peers. They connect to it, though it doesn't know their addresses yet.
         """
-        for topic, following in self._followings.items():
-            if following.should_request_all(now):
+        for topic, followed in self._followed_topics.items():
+            if followed.should_request_all(now):
                 reply(frames.TopicAsk(topic, 0))
 
     def handle(self, reply, frame, now):
@@ -47,16 +47,16 @@
             frame: One of `frames.TOPIC_KINDS`.
             now: Time of the loop's clock in seconds.
         """
-        following = self._followings.get(frame.topic)
-        if following is None:
+        followed = self._followed_topics.get(frame.topic)
+        if followed is None:
             # A daemon of another release may follow additional topics.
             return
         if isinstance(frame, frames.TopicAsk):
-            _send_records(reply, frame, following.copy)
+            _send_records(reply, frame, followed.copy)
         elif isinstance(frame, frames.TopicRecords):
-            following.apply_records(frame.records, frame.start, frame.end)
-        elif following.apply_end(frame.end, now):
-            reply(frames.TopicAsk(frame.topic, following.copy.end))
+            followed.apply_records(frame.records, frame.start, frame.end)
+        elif followed.apply_end(frame.end, now):
+            reply(frames.TopicAsk(frame.topic, followed.copy.end))
 
 
 def _send_records(reply, request, copy):
--- a/whinwinch/daemons/traffic.py
+++ b/whinwinch/daemons/traffic.py
@@ -59,8 +59,8 @@
     def list_sent(self):
         """Return the messages sent since the start as `Sent` tuples."""
         return tuple(
-            Sent(kind.__name__.lower(), OTHER_ZONE if far else SAME_ZONE, *counts)
-            for (kind, far), counts in self._counts.items()
+            Sent(kind.__name__.lower(), OTHER_ZONE if is_other else SAME_ZONE, *counts)
+            for (kind, is_other), counts in self._counts.items()
         )
 
 
--- a/whinwinch/http1/client.py
+++ b/whinwinch/http1/client.py
@@ -204,9 +204,9 @@
             self._waiter.set_exception(TimeoutError())
         self.abort()
 
-    def _fail(self, why):
+    def _fail(self, problem):
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(BrokenError(why))
+            self._waiter.set_exception(BrokenError(problem))
 
     def _parse_keep_alive(self, text):
         # Most servers send the same value in each response, so parse it only once.
--- a/whinwinch/http1/server.py
+++ b/whinwinch/http1/server.py
@@ -50,13 +50,13 @@
 class PendingResponse:
     """The task of a request and its response, sent in the order of the requests."""
 
-    __slots__ = ("answer", "is_head", "keep_alive", "task")
+    __slots__ = ("is_head", "keep_alive", "response", "task")
 
     def __init__(self, keep_alive, is_head):
         self.keep_alive = keep_alive
         self.is_head = is_head
         self.task = None
-        self.answer = None
+        self.response = None
 
 
 class Connection(asyncio.Protocol):
@@ -204,23 +204,23 @@
 
     async def _serve(self, pending, request):
         try:
-            pending.answer = await self._server.handle(request, self._sender)
+            pending.response = await self._server.handle(request, self._sender)
         except Exception:
             # An error in the handler must not leave the following requests of the
             # connection without a response.
             logging.exception("request handler failed")
-            pending.answer = messages.HttpResponse(500, "Internal Server Error")
+            pending.response = messages.HttpResponse(500, "Internal Server Error")
         self._flush()
 
     def _flush(self):
         """Send the responses that are ready, in the order of their requests."""
-        while self._pending and self._pending[0].answer is not None:
+        while self._pending and self._pending[0].response is not None:
             pending = self._pending.popleft()
             if self._transport is None:
                 return
-            closing = not pending.keep_alive or not pending.answer.keep_alive
+            closing = not pending.keep_alive or not pending.response.keep_alive
             closing = closing or self._server.is_stopping
-            data = messages.format_response(pending.answer, closing, pending.is_head)
+            data = messages.format_response(pending.response, closing, pending.is_head)
             self._transport.write(data)
             if closing:
                 self._close_after_response()
@@ -241,7 +241,7 @@
     def _reject_input(self, status):
         """Reject invalid input, after the pending responses, and close."""
         pending = PendingResponse(False, False)
-        pending.answer = self._server.refuse(status)
+        pending.response = self._server.refuse(status)
         self._pending.append(pending)
         self._is_closing = True
         self._in_request = False
--- a/whinwinch/logservice/keyed.py
+++ b/whinwinch/logservice/keyed.py
@@ -13,7 +13,7 @@
 import math
 from typing import NamedTuple
 
-# Seconds to wait for requested records before another peer is asked for them.
+# Seconds to wait for requested records before they are requested from another peer.
 REQUEST_TIMEOUT = 0.3
 # Maximum number of deleted keys that are kept to be sent to peers. Daemons are
 # replaced every day, and their addresses would otherwise accumulate for weeks.
--- a/whinwinch/operators/client.py
+++ b/whinwinch/operators/client.py
@@ -76,7 +76,7 @@
 
 
 class WatchExpired(ClientError):
-    """Changes after the watch's version are gone: list and watch again."""
+    """Changes after the watch's version are no longer stored: list and watch again."""
 
 
 class Refused(ClientError):
@@ -207,7 +207,7 @@
 
         Raises:
             errors.InputErrors: If the resource is invalid, with all findings.
-            ClientError: If the change failed; the subclass tells the cause.
+            ClientError: If the change failed; the subclass identifies the cause.
         """
         name = document.get("name") if isinstance(document, dict) else None
         if not isinstance(name, str) or not name:
--- a/whinwinch/operators/forms.py
+++ b/whinwinch/operators/forms.py
@@ -57,7 +57,7 @@
 
 
 class ChangeAnswer(TypedDict):
-    """JSON form of an accepted change whose resource has since changed or gone."""
+    """JSON form of an accepted change whose resource was changed or deleted since."""
 
     name: str
     version: int
--- a/whinwinch/operators/inputs.py
+++ b/whinwinch/operators/inputs.py
@@ -37,8 +37,8 @@
         query: Parameters of the query by name.
         name: Name of the parameter.
         default: Value to return if the parameter is absent.
-        high: Maximum.
-        kind: ``int`` or ``float``.
+        high: Highest value allowed.
+        kind: Type of the number, ``int`` or ``float``.
 
     Raises:
         ApiError: If the parameter is not a number or out of range.
--- a/whinwinch/operators/store.py
+++ b/whinwinch/operators/store.py
@@ -265,7 +265,7 @@
         return json.dumps([list(one) for one in found], sort_keys=True).encode()
 
     def plan_snapshot(self, retention, wall):
-        """Return a `configuration.SnapshotPlan` that says whether one is due.
+        """Return a `configuration.SnapshotPlan` that states whether one is due.
 
         Args:
             retention: Seconds for which the log keeps records.
@@ -375,8 +375,8 @@
     def _make_verdict(self, change, decision):
         present = self._configuration.get(change.kind, change.name)
         if not decision.accepted:
-            state = f"at version {present.version}" if present else "not there"
-            return Verdict(Decision.REJECTED, reason=f"{change.name} is {state}")
+            state = f"is at version {present.version}" if present else "does not exist"
+            return Verdict(Decision.REJECTED, reason=f"{change.name} {state}")
         if present is not None and present.version != decision.version:
             present = None
         return Verdict(Decision.ACCEPTED, decision.version, resource=present)
--- a/whinwinch/platform/dialect.py
+++ b/whinwinch/platform/dialect.py
@@ -61,7 +61,7 @@
     """Return the `Arrival` of an `HttpRequest`.
 
     Raises:
-        ValueError: When the target, the host or the time left is invalid.
+        ValueError: When the target, the host or the remaining time is invalid.
     """
     if not http.target.startswith("/"):
         raise ValueError("the request target must be a path")
--- a/whinwinch/platform/followers.py
+++ b/whinwinch/platform/followers.py
@@ -22,14 +22,14 @@
 
 
 async def follow_topic(
-    store, topic, following, is_reader, record_read, wait=READ_WAIT, batch_delay=0.0
+    store, topic, followed, is_reader, record_read, wait=READ_WAIT, batch_delay=0.0
 ):
     """Keep the copy of a keyed topic current until cancelled.
 
     Args:
         store: `store.Store`.
         topic: Name of the topic.
-        following: `keyed.FollowedTopic` of the topic.
+        followed: `keyed.FollowedTopic` of the topic.
         is_reader: Function that returns whether this daemon reads the log for other
             daemons.
         record_read: Function called after each read with the topic, the end offset
@@ -38,23 +38,23 @@
         batch_delay: Seconds between a read that returned records and the next one,
             so that it returns several records at once.
     """
-    backoff, lost_since, is_gone = INITIAL_BACKOFF, None, False
+    backoff, lost_since, history_dropped = INITIAL_BACKOFF, None, False
     clock = asyncio.get_running_loop().time
     while True:
-        if not following.must_read(is_reader(), clock()):
+        if not followed.must_read(is_reader(), clock()):
             await asyncio.sleep(READER_CHECK_INTERVAL * random.uniform(0.5, 1.5))
             continue
         try:
-            if is_gone or not following.copy.is_known:
+            if history_dropped or not followed.copy.is_known:
                 page = await store.read_newest(topic)
-                following.copy.apply_listing(page.records, page.end)
+                followed.copy.apply_listing(page.records, page.end)
             else:
-                start = following.copy.end
+                start = followed.copy.end
                 page = await store.read_from(topic, start, wait)
-                following.copy.apply_records(page.records, start, page.end)
+                followed.copy.apply_records(page.records, start, page.end)
         except StoreError as error:
-            is_gone = error.outcome is Outcome.GONE
-            if is_gone:
+            history_dropped = error.outcome is Outcome.GONE
+            if history_dropped:
                 # The store has kept only the newest record of each key.
                 logging.info(
                     "history of topic %s was dropped, reading the newest records",
@@ -68,7 +68,7 @@
             backoff = min(1.5 * backoff, MAX_BACKOFF)
             continue
         record_read(topic, page.end, clock())
-        backoff, is_gone = INITIAL_BACKOFF, False
+        backoff, history_dropped = INITIAL_BACKOFF, False
         if lost_since is not None:
             _log_store_state(topic, "regained", seconds=clock() - lost_since)
         lost_since = None
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -110,10 +110,10 @@
             ),
             instance_settings.repeats,
         )
-        self._configuration_following = self._follow(
+        self._followed_configuration = self._follow(
             CONFIGURATION_TOPIC, self._apply_configuration, CONFIGURATION_READ_TIMEOUT
         )
-        self._instances_following = self._follow(
+        self._followed_instances = self._follow(
             INSTANCES_TOPIC, self._apply_instance_records, INSTANCES_READ_TIMEOUT
         )
         limits = Limits()
@@ -186,7 +186,7 @@
                 followers.follow_topic,
                 store,
                 CONFIGURATION_TOPIC,
-                self._configuration_following,
+                self._followed_configuration,
                 instance.is_reader,
                 instance.topics.record_read,
             ),
@@ -194,7 +194,7 @@
                 followers.follow_topic,
                 store,
                 INSTANCES_TOPIC,
-                self._instances_following,
+                self._followed_instances,
                 instance.is_reader,
                 instance.topics.record_read,
                 INSTANCES_WAIT,
@@ -221,9 +221,9 @@
             read_timeout: Seconds without a report from peers after which this daemon
                 reads the topic itself.
         """
-        following = keyed.FollowedTopic(keyed.TopicCopy(apply_records), read_timeout)
-        self.instance.topics.add(topic, following)
-        return following
+        followed = keyed.FollowedTopic(keyed.TopicCopy(apply_records), read_timeout)
+        self.instance.topics.add(topic, followed)
+        return followed
 
     async def _answer_call(self, http, sender):
         """Answer a request of a caller or of the local backend server."""
@@ -360,7 +360,7 @@
             current = instance.endpoint
             recorded = instance.directory.find_recorded(current.address)
             if (
-                not self._instances_following.copy.is_known
+                not self._followed_instances.copy.is_known
                 or not current.service
                 or current == recorded
             ):
@@ -412,12 +412,12 @@
 
     def _find_unrecorded_topology(self):
         """Return the `Topology` of the present routes, None if the store has it."""
-        if not self._instances_following.copy.is_known:
+        if not self._followed_instances.copy.is_known:
             return None
-        known = self.instance.graph.export_topology()
+        topology = self.instance.graph.export_topology()
         routes = {route.name for route in self.instance.table.routes}
-        entries = tuple(name for name in known.entries if name in routes)
-        calls = tuple(edge for edge in known.calls if routes.issuperset(edge))
+        entries = tuple(name for name in topology.entries if name in routes)
+        calls = tuple(edge for edge in topology.calls if routes.issuperset(edge))
         is_recorded = set(entries) <= set(self._recorded_topology.entries)
         if is_recorded and set(calls) <= set(self._recorded_topology.calls):
             return None
