--- a/test/http1/test_server.py
+++ b/test/http1/test_server.py
@@ -66,7 +66,7 @@
     async def test_disconnecting_caller_cancels_its_request(self):
         """A caller closes its connection while its request is pending.
 
-        Without the cancellation the work would go on although nobody needs it.
+        Without the cancellation the work would continue although it is not needed.
         """
         self.gates["/1"] = asyncio.Event()
         _, writer = await self.connect()
--- a/test/logservice/test_keyed.py
+++ b/test/logservice/test_keyed.py
@@ -21,7 +21,7 @@
 
     def test_empty_topic_counts_as_read(self):
         self.copy.apply_listing((), 0)
-        self.assertTrue(self.copy.is_known)
+        self.assertTrue(self.copy.is_initialized)
 
     def test_records_that_leave_a_gap(self):
         """Guards against applying records that leave a gap.
--- a/test/operators/test_api.py
+++ b/test/operators/test_api.py
@@ -137,7 +137,7 @@
     def test_log_down(self):
         """The log is down or its answer is lost while an operator makes a change.
 
-        The error has to tell whether to look up the change in the history or to
+        The error has to state whether to look up the change in the history or to
         make it again.
         """
         self.log.fault = fakes.LogDown(False)
--- a/whinwinch/logservice/keyed.py
+++ b/whinwinch/logservice/keyed.py
@@ -43,7 +43,7 @@
 
     Attributes:
         end: Offset after the last record of the copy.
-        is_known: Whether the copy has ever covered the topic up to its end.
+        is_initialized: Whether the copy has ever covered the topic up to its end.
     """
 
     def __init__(self, apply):
@@ -52,7 +52,7 @@
         # Keys deleted before this offset are no longer stored.
         self._deletions_floor = 0
         self.end = 0
-        self.is_known = False
+        self.is_initialized = False
 
     def apply_records(self, records, start, end):
         """Apply the records from a start offset to an end offset.
@@ -80,7 +80,7 @@
             records: `Record` tuples, one for each existing key.
             end: Offset up to which the topic was read for the listing.
         """
-        if self.is_known and end < self.end:
+        if self.is_initialized and end < self.end:
             return
         listed = {record.key for record in records}
         dropped = [
@@ -101,7 +101,7 @@
             never complete or may no longer store a key that was deleted after
             `start`.
         """
-        if not self.is_known or 0 < start < self._deletions_floor:
+        if not self.is_initialized or 0 < start < self._deletions_floor:
             return None
         newer = [r for r in self._records.values() if r.offset >= start]
         return tuple(sorted(newer, key=_get_offset))
@@ -116,8 +116,8 @@
         self._records.update((record.key, record) for record in changed)
         self._discard_deleted()
         self.end = max(self.end, end)
-        is_first = not self.is_known
-        self.is_known = True
+        is_first = not self.is_initialized
+        self.is_initialized = True
         if changed or is_first:
             self._apply(changed)
 
@@ -176,7 +176,7 @@
         Returns:
             Whether to request the missing records from that peer.
         """
-        if self.copy.is_known and end <= self.copy.end:
+        if self.copy.is_initialized and end <= self.copy.end:
             self.record_read(end, now)
             return False
         if end >= self._reported_end:
@@ -192,7 +192,7 @@
         Hundreds of peers connect where all daemons start together. If the topic
         were requested from each of them, each would send all of it.
         """
-        if self.copy.is_known or now - self._requested < REQUEST_TIMEOUT:
+        if self.copy.is_initialized or now - self._requested < REQUEST_TIMEOUT:
             return False
         self._requested = now
         return True
@@ -211,7 +211,7 @@
             is_reader: Whether this daemon reads the log on behalf of others.
             now: Time of the loop's clock in seconds.
         """
-        if is_reader or not self.copy.is_known:
+        if is_reader or not self.copy.is_initialized:
             return True
         return now - self._confirmed > self._max_unconfirmed_age
 
--- a/whinwinch/logservice/relay.py
+++ b/whinwinch/logservice/relay.py
@@ -97,7 +97,7 @@
 
 
 class RecordStore:
-    """Recent configuration records, kept in memory to hand on to peers.
+    """Recent configuration records, kept in memory to be sent to peers.
 
     Args:
         find_covered: Function from a record's data to the offset before which a
--- a/whinwinch/operators/api.py
+++ b/whinwinch/operators/api.py
@@ -22,7 +22,7 @@
 JSON_LINES_TYPE = "application/x-ndjson"
 
 # Seconds that a request waits for the log, which normally answers in milliseconds.
-# Longer than this an operator would not wait, and the thread stays blocked.
+# An operator would not wait longer than this, and the wait blocks a thread.
 PROPOSE_TIMEOUT = 5.0
 MAX_HISTORY_LIMIT = 1000
 DEFAULT_HISTORY_LIMIT = 100
--- a/whinwinch/platform/followers.py
+++ b/whinwinch/platform/followers.py
@@ -45,7 +45,7 @@
             await asyncio.sleep(READER_CHECK_INTERVAL * random.uniform(0.5, 1.5))
             continue
         try:
-            if history_dropped or not followed.copy.is_known:
+            if history_dropped or not followed.copy.is_initialized:
                 page = await store.read_newest(topic)
                 followed.copy.apply_listing(page.records, page.end)
             else:
--- a/whinwinch/platform/node.py
+++ b/whinwinch/platform/node.py
@@ -360,7 +360,7 @@
             current = instance.endpoint
             recorded = instance.directory.find_recorded(current.address)
             if (
-                not self._followed_instances.copy.is_known
+                not self._followed_instances.copy.is_initialized
                 or not current.service
                 or current == recorded
             ):
@@ -412,7 +412,7 @@
 
     def _find_unrecorded_topology(self):
         """Return the `Topology` of the present routes, None if the store has it."""
-        if not self._followed_instances.copy.is_known:
+        if not self._followed_instances.copy.is_initialized:
             return None
         topology = self.instance.graph.export_topology()
         routes = {route.name for route in self.instance.table.routes}
